--- a/packages/clementineyoke-cli/src/clementineyoke_cli/settings_file.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/settings_file.py
@@ -8,7 +8,7 @@
 import json5
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_core.settings.validation import find_faults
+from clementineyoke_core.settings.validation import find_violations
 
 
 def read_settings_file(path: str) -> dict[str, dict[str, Any] | None]:
@@ -19,7 +19,7 @@
         raise AdminError(
             step="read", peer=path, reason=str(error), details=[]
         ) from error
-    faults = find_faults(document)
+    faults = find_violations(document)
     if faults:
         raise AdminError(
             step="validate",
--- a/packages/clementineyoke-cli/tests/steps/commands_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/commands_steps.py
@@ -12,7 +12,7 @@
 from clementineyoke_node.callers.authenticator import hash_key
 from clementineyoke_node.callers.decision_ring import DecisionRing
 from clementineyoke_node.metrics import Metrics
-from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+from clementineyoke_node.settings.settings_replica import SettingsReplica
 from clementineyoke_node.settings.settings_writer import SettingsWriter
 from clementineyoke_node.timers.timer_service import TimerService
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
@@ -40,7 +40,7 @@
 
 async def serve(context):
     objects = MemoryObjectApi()
-    keeper = SettingsKeeper(
+    keeper = SettingsReplica(
         objects=objects,
         peers=None,
         has_watch_duty=lambda: True,
@@ -50,7 +50,7 @@
         key_hashes=[hash_key(KEY)],
         seal=Seal(keys=["peer"]),
         keeper=keeper,
-        writer=SettingsWriter(objects=objects, keeper=keeper, author_node="node"),
+        writer=SettingsWriter(objects=objects, settings=keeper, author_node="node"),
         decisions=DecisionRing(),
         metrics=Metrics(),
         timers=TimerService(),
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
@@ -14,11 +14,11 @@
     Segment,
     encode,
     head_name,
-    slot_name,
+    segment_name,
 )
 
 if TYPE_CHECKING:
-    from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
+    from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
 
 KEEP_MS = 600_000
 SPAN_MS = 20_000
@@ -70,10 +70,10 @@
     """
 
     def __init__(
-        self, *, shard: str, keep_ms: int = KEEP_MS, span_ms: int = SPAN_MS
+        self, *, shard: str, retention_ms: int = KEEP_MS, span_ms: int = SPAN_MS
     ) -> None:
         self._shard = shard
-        self._keep_ms = keep_ms
+        self._keep_ms = retention_ms
         self._span_ms = span_ms
         self._is_loaded = False
         self._head = ChainHead(0, 0)
@@ -109,34 +109,34 @@
         self._open_version = newest.version
         self._open_bytes = 0 if newest.segment is None else len(encode(newest.segment))
 
-    def distrust(self) -> None:
+    def mark_stale(self) -> None:
         """Forget that the shard was read, after a refused or a lost write."""
         self._is_loaded = False
 
-    def note(self, report: ClaimReport) -> None:
+    def apply_report(self, report: ClaimReport) -> None:
         """Take a report before it is durable, so that a repeat at once sees it."""
         held = self._view.get(report.key)
         record = _after_report(held and held.record, report)
         if held is not None and record is not None:
             self._view[report.key] = HeldClaim(record, held.number)
 
-    def decide(self, ask: ClaimAsk) -> ClaimDecision | None:
+    def decide(self, claim: ClaimAttempt) -> ClaimDecision | None:
         """Answer from what is known, or None if the ask needs a write."""
-        record = self._find(ask.key)
+        record = self._find(claim.key)
         if record is None or record.state is ClaimState.FREE:
             if self._is_full:
                 return ClaimDecision(ClaimVerdict.UNAVAILABLE)
             return None
-        if record.request_digest != ask.request_digest:
+        if record.request_digest != claim.request_digest:
             return ClaimDecision(ClaimVerdict.MISMATCH)
         if record.state is ClaimState.FINISHED:
             return ClaimDecision(ClaimVerdict.ANSWERED, record.answer)
-        if record.holder == ask.holder:
+        if record.holder == claim.holder:
             return ClaimDecision(ClaimVerdict.GRANTED)
         return ClaimDecision(ClaimVerdict.UNKNOWN)
 
     def next_write(
-        self, asks: list[ClaimAsk], reports: list[ClaimReport], *, wall_ms: int
+        self, claims: list[ClaimAttempt], reports: list[ClaimReport], *, wall_ms: int
     ) -> ChainWrite:
         """Return the update that comes next.
 
@@ -156,10 +156,10 @@
             return self._write_segment(WriteKind.SEAL, sealed)
         self._is_full = self._open_bytes >= LARGEST_SEGMENT_BYTES
         if self._is_full:
-            asks = []
-        return self._write_claims(asks, reports, wall_ms)
+            claims = []
+        return self._write_claims(claims, reports, wall_ms)
 
-    def written(self, write: ChainWrite, *, version: int) -> None:
+    def record_written(self, write: ChainWrite, *, version: int) -> None:
         """Note that the platform accepted a write as this version."""
         if isinstance(write.result, ChainHead):
             self._begin_segment(write.result, version)
@@ -172,7 +172,7 @@
         self._hold(self._open)
 
     def _write_claims(
-        self, asks: list[ClaimAsk], reports: list[ClaimReport], wall_ms: int
+        self, asks: list[ClaimAttempt], reports: list[ClaimReport], wall_ms: int
     ) -> ChainWrite:
         records = dict(self._open.records)
         for ask in asks:
@@ -190,7 +190,7 @@
         return self._write_segment(WriteKind.CLAIMS, segment)
 
     def _write_segment(self, kind: WriteKind, segment: Segment) -> ChainWrite:
-        name = slot_name(self._shard, segment.number)
+        name = segment_name(self._shard, segment.number)
         return ChainWrite(kind, name, self._open_version, encode(segment), segment)
 
     def _write_head(self, wall_ms: int) -> ChainWrite:
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from clementineyoke_core.claims.record import KeptAnswer
+    from clementineyoke_core.claims.record import StoredAnswer
 
 
 class ClaimVerdict(IntEnum):
@@ -28,4 +28,4 @@
     """A verdict, with the kept answer of a finished call."""
 
     verdict: ClaimVerdict
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from clementineyoke_core.claims.record import KeptAnswer
+    from clementineyoke_core.claims.record import StoredAnswer
 
 
-class ClaimAsk(NamedTuple):
+class ClaimAttempt(NamedTuple):
     """A request that wants to run once under a key."""
 
     key: str
@@ -22,4 +22,4 @@
     key: str
     holder: str
     ran: bool
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/record.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/record.py
@@ -17,7 +17,7 @@
     """Its holder did not run the request and never will."""
 
 
-class KeptAnswer(msgspec.Struct, frozen=True, array_like=True):
+class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
     """A finished call's answer, small enough to keep for a repeat."""
 
     status: int
@@ -34,5 +34,5 @@
     claimed_at_ms: int
     """Wall clock of the home that wrote it."""
     state: ClaimState = ClaimState.TAKEN
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
     """None though finished: the answer was too large to keep."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
@@ -28,7 +28,7 @@
     open: int
 
 
-FIRST_HEAD = ChainHead(0, 0)
+INITIAL_HEAD = ChainHead(0, 0)
 """Holds where no head has been written yet."""
 
 
@@ -58,7 +58,7 @@
     return f"{shard}/head"
 
 
-def slot_name(shard: str, number: int) -> str:
+def segment_name(shard: str, number: int) -> str:
     """Return the name of the ring slot that a segment lies in."""
     return f"{shard}/{number % RING_SLOTS:02d}"
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/cold_pace.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/cold_runner_pacer.py
@@ -5,7 +5,7 @@
 MS_PER_S = 1000.0
 
 
-class ColdPace:
+class ColdRunnerPacer:
     """Space the grants on cold runners evenly.
 
     A bucket would let a burst through when a runner turns cold, and two homes that both
@@ -27,6 +27,6 @@
         """Note a call to a cold runner that bears some calls a second."""
         self._next_ms[runner_id] = now_ms + MS_PER_S / calls_per_s
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop what is known of a runner."""
         self._next_ms.pop(runner_id, None)
--- a/packages/clementineyoke-core/src/clementineyoke_core/cold_runners.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/cold_runners.py
@@ -10,16 +10,16 @@
     from clementineyoke_core.runner import Runner
 
 
-class ColdLimit(NamedTuple):
+class ColdRunnerLimit(NamedTuple):
     """What the operator says of a pool's runners after their start."""
 
     calls_per_s: float
     """Calls a second that a cold runner bears over all nodes; 0 for no limit."""
-    lasts_ms: float
+    duration_ms: float
     """How long a runner stays cold after its start."""
 
 
-NO_LIMIT = ColdLimit(0.0, 0.0)
+NO_LIMIT = ColdRunnerLimit(0.0, 0.0)
 
 
 class ColdRunners:
@@ -30,38 +30,40 @@
     """
 
     def __init__(self) -> None:
-        self._limits: Mapping[str, ColdLimit] = {}
+        self._limits: Mapping[str, ColdRunnerLimit] = {}
         self._until_ms: dict[str, float] = {}
 
-    def set_limits(self, limits: Mapping[str, ColdLimit]) -> None:
+    def set_limits(self, limits: Mapping[str, ColdRunnerLimit]) -> None:
         """Take the operator's figures by pool."""
         self._limits = limits
 
-    def record_word(self, runner: Runner, *, left_ms: float, now_ms: float) -> None:
+    def record_report(
+        self, runner: Runner, *, remaining_ms: float, now_ms: float
+    ) -> None:
         """Take a runner's own word on how much longer it is cold; 0 ends it."""
-        if left_ms > 0.0:
-            self._until_ms[runner.lifetime] = now_ms + left_ms
+        if remaining_ms > 0.0:
+            self._until_ms[runner.lifetime] = now_ms + remaining_ms
         else:
             self._until_ms.pop(runner.lifetime, None)
 
     def assume_cold(self, runner: Runner, *, now_ms: float) -> None:
         """Take a runner for cold until it would be warm after a start now."""
-        lasts_ms = self._limits.get(runner.pool, NO_LIMIT).lasts_ms
+        lasts_ms = self._limits.get(runner.pool, NO_LIMIT).duration_ms
         known_ms = self._until_ms.get(runner.lifetime, now_ms)
         if lasts_ms > 0.0:
             self._until_ms[runner.lifetime] = max(known_ms, now_ms + lasts_ms)
 
-    def left_ms(self, runner: Runner, *, now_ms: float) -> float:
+    def remaining_ms(self, runner: Runner, *, now_ms: float) -> float:
         """Return how much longer a runner is cold; 0 for a warm one."""
         return max(0.0, self._until_ms.get(runner.lifetime, now_ms) - now_ms)
 
     def calls_per_s(self, runner: Runner, *, now_ms: float) -> float | None:
         """Return what a cold runner bears; None for a warm one or without a limit."""
-        if not self.left_ms(runner, now_ms=now_ms):
+        if not self.remaining_ms(runner, now_ms=now_ms):
             return None
         return self._limits.get(runner.pool, NO_LIMIT).calls_per_s or None
 
-    def forget(self, kept: set[str]) -> None:
+    def retain(self, kept: set[str]) -> None:
         """Drop what is known of lifetimes that are over."""
         for lifetime in self._until_ms.keys() - kept:
             del self._until_ms[lifetime]
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/admission.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/admission.py
@@ -91,9 +91,9 @@
 
 def _check_size(call: EdgeCall, limits: CallerLimits) -> None:
     """Refuse what is larger than the operator lets a caller send."""
-    if call.head_bytes > limits.header_bytes:
+    if call.head_bytes > limits.max_header_bytes:
         raise _refuse(431, f"headers of {call.head_bytes} bytes are too large")
-    if len(call.body) > limits.body_bytes:
+    if len(call.body) > limits.max_body_bytes:
         raise _refuse(413, f"a body of {len(call.body)} bytes is too large")
 
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/attempt_ledger.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/attempt_ledger.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class AttemptEnd(Enum):
+class AttemptOutcome(Enum):
     """How far an attempt is known to have got."""
 
     NOT_SENT = "not_sent"
@@ -31,9 +31,9 @@
     bookings for one caller.
     """
 
-    def __init__(self, *, may_repeat: bool, most_runners: int) -> None:
+    def __init__(self, *, may_repeat: bool, max_runners: int) -> None:
         self._may_repeat = may_repeat
-        self._most_runners = most_runners
+        self._most_runners = max_runners
         self._sends = 0
         self._connects = 0
         self._may_have_run = False
@@ -49,21 +49,21 @@
         """How many runners were sent the call."""
         return self._sends
 
-    def record(self, runner_id: str, end: AttemptEnd) -> None:
+    def record(self, runner_id: str, end: AttemptOutcome) -> None:
         """Note the end of one attempt."""
         self.tried.append(runner_id)
         self._connects += 1
-        if end is AttemptEnd.NOT_SENT:
+        if end is AttemptOutcome.NOT_SENT:
             return
         self._sends += 1
-        if end is not AttemptEnd.REFUSED:
+        if end is not AttemptOutcome.REFUSED:
             self._may_have_run = True
 
-    def may_give_up(self) -> bool:
+    def may_abandon_attempt(self) -> bool:
         """Whether one more runner may be tried if the attempt under way is ended."""
         return self._may_repeat and self._sends + 1 < self._most_runners
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether the call may be sent to one more runner."""
         if self._may_have_run and not self._may_repeat:
             return False
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/patience.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/attempt_timeouts.py
@@ -41,7 +41,7 @@
 """Routes whose pace is kept, 0.2 MB; after that all are learned anew."""
 
 
-class Patience:
+class AttemptTimeouts:
     """Work out waiting times for calls that may go on at another runner.
 
     A call that may not be sent again gets all the time it has: ending it sooner turns
@@ -55,16 +55,16 @@
     def __init__(self) -> None:
         self._pace_ms: dict[str, float] = {}
 
-    def record_first_event(self, route: Route, *, after_ms: float) -> None:
+    def record_first_event(self, route: Route, *, latency_ms: float) -> None:
         """Note how long a runner took to a stream's first event."""
         if len(self._pace_ms) >= MOST_PACES:
             self._pace_ms.clear()
         pace_ms = self._pace_ms.get(route.name, FIRST_ANSWER_MS)
-        self._pace_ms[route.name] = pace_ms + PACE_WEIGHT * (after_ms - pace_ms)
+        self._pace_ms[route.name] = pace_ms + PACE_WEIGHT * (latency_ms - pace_ms)
 
-    def head_ms(self, route: Route, *, prompt_tokens: int) -> float:
+    def head_timeout_ms(self, route: Route, *, prompt_tokens: int) -> float:
         """Return how long to wait for an answer's head or a stream's first event."""
-        if not route.may_repeat or route.most_runners < 2:
+        if not route.may_repeat or route.max_runners < 2:
             return route.timeout_ms
         if route.kind is CallKind.STREAM:
             usual_ms = LEAST_HEAD_MS + READING_MS_PER_TOKEN * prompt_tokens
@@ -74,7 +74,7 @@
             return max(usual_ms, LATE_FACTOR * route.objective_ms)
         return max(LEAST_HEAD_MS, route.objective_ms)
 
-    def last_ms(self, route: Route, *, prompt_tokens: int) -> float:
+    def last_attempt_timeout_ms(self, route: Route, *, prompt_tokens: int) -> float:
         """Return how long to wait for an answer when no other runner may be tried.
 
         Given up sooner, a runner that is merely slow turns a late answer into none.
@@ -84,16 +84,16 @@
         """
         if not route.may_repeat:
             return route.timeout_ms
-        patience_ms = self.head_ms(route, prompt_tokens=prompt_tokens)
+        patience_ms = self.head_timeout_ms(route, prompt_tokens=prompt_tokens)
         return max(patience_ms, LAST_FACTOR * route.objective_ms)
 
-    def overdue_ms(self, route: Route, *, prompt_tokens: int) -> float:
+    def overdue_after_ms(self, route: Route, *, prompt_tokens: int) -> float:
         """Return after how long a call's silence is a sign against its runner."""
         usual_ms = LEAST_HEAD_MS + READING_MS_PER_TOKEN * prompt_tokens
         return max(LEAST_OVERDUE_MS, OVERDUE_FACTOR * usual_ms)
 
-    def pause_ms(self, route: Route) -> float:
+    def next_event_timeout_ms(self, route: Route) -> float:
         """Return how long to wait for a stream's next event."""
-        if not route.may_repeat or route.most_runners < 2:
+        if not route.may_repeat or route.max_runners < 2:
             return route.timeout_ms
         return max(LEAST_HEAD_MS, PAUSE_FACTOR * route.pause_objective_ms)
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/crash_records.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/crash_records.py
@@ -21,16 +21,16 @@
 """How long a request is refused after the last runner that ended under it. Then one
 more try is let through: the runners may have been mended, or it may never have been the
 request's fault."""
-KEPT_MS = 600_000.0
+RETENTION_MS = 600_000.0
 """How long an end is remembered: a request that ends a runner every few minutes is
 known by the third one."""
 ORDER_SLACK_MS = 40.0
 """How much the ways of two reports may differ, to a home in another region and on a
 busy node: a call's second send follows on the first one's end within a millisecond."""
-MOST_RECORDS = 2_048
+MAX_RECORDS = 2_048
 """When 100 runners with 64 calls each are killed at once, each of 410 nodes is told of
 47 calls; the rest is for many such moments within the time that an end is kept."""
-MOST_NAMED = 6
+MAX_NAMED_RUNNERS = 6
 """Runners that are named in a record; more are only counted."""
 
 
@@ -52,7 +52,7 @@
         return self.clears, self.crashes
 
 
-UNKNOWN = CrashRecord()
+EMPTY_RECORD = CrashRecord()
 
 
 class CrashRecords:
@@ -86,7 +86,7 @@
 
     def get(self, digest: bytes) -> CrashRecord:
         """Return what is known of a request."""
-        return self._records.get(digest, UNKNOWN)
+        return self._records.get(digest, EMPTY_RECORD)
 
     def is_suspect(self, digest: bytes) -> bool:
         """Whether several runners ended under a request, so that it is kept apart."""
@@ -99,21 +99,21 @@
             return 0.0
         return max(0.0, record.last_ms + REFUSED_MS - now_ms)
 
-    def shared(self) -> Iterator[tuple[bytes, CrashRecord]]:
+    def records_to_share(self) -> Iterator[tuple[bytes, CrashRecord]]:
         """Yield what every node should know: all but single ends."""
         for digest, record in self._records.items():
             if record.clears or record.crashes >= SUSPECTED_FROM:
                 yield digest, record
 
-    def record_end(
-        self, digest: bytes, *, runner: str, sent_ms: float, ended_ms: float
+    def record_crash(
+        self, digest: bytes, *, lifetime: str, sent_ms: float, crashed_ms: float
     ) -> CrashRecord | None:
         """Note that a runner ended with a call on it that was sent at some time.
 
         Return the record if it has changed and every node should know it.
         """
         known = self.get(digest)
-        if runner in known.runners:
+        if lifetime in known.runners:
             return None
         if sent_ms < known.last_ms - ORDER_SLACK_MS:
             # It was on this runner already when the one before ended, and both may
@@ -121,10 +121,10 @@
             return None
         record = known._replace(
             crashes=known.crashes + 1,
-            runners=(*known.runners, runner)[-MOST_NAMED:],
-            last_ms=ended_ms,
+            runners=(*known.runners, lifetime)[-MAX_NAMED_RUNNERS:],
+            last_ms=crashed_ms,
         )
-        self._put(digest, record, now_ms=ended_ms)
+        self._put(digest, record, now_ms=crashed_ms)
         return record if record.crashes >= SUSPECTED_FROM else None
 
     def record_answer(self, digest: bytes, *, now_ms: float) -> CrashRecord | None:
@@ -142,19 +142,22 @@
         self._put(digest, cleared, now_ms=now_ms)
         return cleared if known.crashes >= SUSPECTED_FROM else None
 
-    def take(self, digest: bytes, record: CrashRecord, *, now_ms: float) -> bool:
+    def merge(self, digest: bytes, record: CrashRecord, *, now_ms: float) -> bool:
         """Take what a peer knows; return whether it is news."""
-        if record.rank <= self.get(digest).rank or record.last_ms + KEPT_MS <= now_ms:
+        if (
+            record.rank <= self.get(digest).rank
+            or record.last_ms + RETENTION_MS <= now_ms
+        ):
             return False
         self._put(digest, record, now_ms=now_ms)
         return True
 
-    def drop_old(self, *, now_ms: float) -> None:
+    def drop_expired(self, *, now_ms: float) -> None:
         """Forget what has not happened again for long."""
         old = [
             digest
             for digest, record in self._records.items()
-            if record.last_ms + KEPT_MS <= now_ms
+            if record.last_ms + RETENTION_MS <= now_ms
         ]
         for digest in old:
             self._delete(digest)
@@ -178,7 +181,7 @@
     def _put(self, digest: bytes, record: CrashRecord, *, now_ms: float) -> None:
         if digest in self._records:
             self._delete(digest)
-        elif len(self._records) >= MOST_RECORDS:
+        elif len(self._records) >= MAX_RECORDS:
             self._make_room(now_ms)
         self._records[digest] = record
         for runner in record.runners:
@@ -194,8 +197,8 @@
 
     def _make_room(self, now_ms: float) -> None:
         """Forget what is old, or else the least and oldest of the records."""
-        self.drop_old(now_ms=now_ms)
-        if len(self._records) < MOST_RECORDS:
+        self.drop_expired(now_ms=now_ms)
+        if len(self._records) < MAX_RECORDS:
             return
         least = min(self._records, key=self._weight)
         self._delete(least)
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/desired_state.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/desired_state.py
@@ -19,8 +19,8 @@
 class CallerLimits(NamedTuple):
     """What a caller may send, and how long it may take or stay idle."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
     header_timeout_ms: float = 3_000.0
     idle_timeout_ms: float = 15_000.0
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/entry_choice.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/entry_nodes.py
@@ -25,7 +25,7 @@
 twice their usual number, and go on with the rest when a third of the nodes is lost."""
 
 
-def choose_entries(nodes: Iterable[Node], *, calls_per_s: float) -> list[Node]:
+def choose_entry_nodes(nodes: Iterable[Node], *, calls_per_s: float) -> list[Node]:
     """Return the nodes to name, given the calls a second of the whole fleet.
 
     Callers take any address of the answer with equal chances, so the weakest host
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/evacuations.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/evacuations.py
@@ -24,8 +24,8 @@
     """What a watch saw of the orders between two revisions of the store."""
 
     revision: int
-    given: tuple[EvacuatedZone, ...]
-    taken_back: tuple[str, ...]
+    evacuated: tuple[EvacuatedZone, ...]
+    returned: tuple[str, ...]
 
 
 class ZoneChange(NamedTuple):
@@ -62,7 +62,7 @@
         """The orders in force, as they are handed to a peer."""
         return self._view
 
-    def take(self, view: EvacuationView) -> ZoneChange | None:
+    def replace(self, view: EvacuationView) -> ZoneChange | None:
         """Take all orders as of a revision; return what changed, None for old news."""
         if view.revision <= self._view.revision:
             return None
@@ -84,11 +84,11 @@
         if changes.revision <= self._view.revision:
             return None
         zones = {zone.availability_zone: zone for zone in self._view.zones}
-        for name in changes.taken_back:
+        for name in changes.returned:
             zones.pop(name, None)
-        zones.update({zone.availability_zone: zone for zone in changes.given})
+        zones.update({zone.availability_zone: zone for zone in changes.evacuated})
         view = EvacuationView(changes.revision, tuple(sorted(zones.values())))
-        return self.take(view)
+        return self.replace(view)
 
 
 def _compare(
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/event_splitter.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/event_splitter.py
@@ -12,7 +12,7 @@
     """One whole event as it came, with its number."""
 
     body: bytes
-    number: int | None
+    event_id: int | None
     """The event's id; None for one that carries none, such as a comment."""
 
 
@@ -27,7 +27,7 @@
         self._rest = b""
 
     @property
-    def has_part(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the stream has stopped within an event."""
         return bool(self._rest)
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_trust.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_connection_policy.py
@@ -7,7 +7,7 @@
 long as what makes them do it lasts; a new connection costs a millisecond."""
 
 
-class IdleTrust:
+class IdleConnectionPolicy:
     """Remember pools whose runners dropped a connection that rested.
 
     A runner, or something on the way to it, may forget a resting connection without a
@@ -21,11 +21,11 @@
 
     def record_loss(self, pool: str, *, now_ms: float) -> bool:
         """Note a call lost on a rested connection; return whether it is news."""
-        is_news = self.trusts(pool, now_ms=now_ms)
+        is_news = self.may_reuse(pool, now_ms=now_ms)
         self._lost_ms[pool] = now_ms
         return is_news
 
-    def trusts(self, pool: str, *, now_ms: float) -> bool:
+    def may_reuse(self, pool: str, *, now_ms: float) -> bool:
         """Whether a resting connection to the pool's runners may carry any call."""
         lost_ms = self._lost_ms.get(pool)
         return lost_ms is None or now_ms - lost_ms >= WARY_MS
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/displacement.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/load_cap_share.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-PLAIN_SHARE = 0.8
+NO_PROMPT_CAP_SHARE = 0.8
 """Of the operator's cap, for calls without a prompt; the rest is for grants that two
 homes give at once."""
 CHEAP_SHARE = 0.6
 """For the shortest prompts: they are read elsewhere in a few ms."""
-DEAR_SHARE = 0.95
+LONG_PROMPT_CAP_SHARE = 0.95
 """For long prompts. What is left of the cap is for grants that two homes give at once;
 the operator's rule on load held in all plays that compared this with 0.8."""
 DEAR_TOKENS = 3_000
@@ -15,7 +15,7 @@
 in a ms, as engines were seen to have, moving one takes 0.3 GB and reading it 33 ms."""
 
 
-def load_share(prompt_tokens: int) -> float:
+def load_cap_share(prompt_tokens: int) -> float:
     """Return the share of the operator's cap up to which a call may go.
 
     A runner at its bound turns calls away in the order of their arrival. Most that
@@ -24,6 +24,6 @@
     a lower bound for cheap calls, these give way while there is room for dear ones.
     """
     if not prompt_tokens:
-        return PLAIN_SHARE
+        return NO_PROMPT_CAP_SHARE
     dearness = min(1.0, prompt_tokens / DEAR_TOKENS)
-    return CHEAP_SHARE + (DEAR_SHARE - CHEAP_SHARE) * dearness
+    return CHEAP_SHARE + (LONG_PROMPT_CAP_SHARE - CHEAP_SHARE) * dearness
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_holders.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_holders.py
@@ -37,7 +37,7 @@
             self._holdings.clear()
         self._holdings[key] = _Holding(runner, now_ms)
 
-    def last(self, key: int, *, now_ms: float) -> Runner | None:
+    def last_holder(self, key: int, *, now_ms: float) -> Runner | None:
         """Return the runner that answered last, unless that was long ago."""
         holding = self._holdings.get(key)
         if holding is None or now_ms - holding.at_ms > TRUSTED_MS:
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
@@ -31,20 +31,20 @@
         calls.append(now_ms)
         self._drop_old(calls, now_ms)
 
-    def take(self, pool: str, *, sharers: int, now_ms: float) -> bool:
+    def try_spend(self, pool: str, *, node_count: int, now_ms: float) -> bool:
         """Take one second try for a pool, or return False when none is left."""
-        if not self.has_left(pool, sharers=sharers, now_ms=now_ms):
+        if not self.has_budget(pool, node_count=node_count, now_ms=now_ms):
             return False
         self._retries[pool].append(now_ms)
         return True
 
-    def has_left(self, pool: str, *, sharers: int, now_ms: float) -> bool:
+    def has_budget(self, pool: str, *, node_count: int, now_ms: float) -> bool:
         """Whether a second try is left for a pool."""
         calls = self._calls.setdefault(pool, deque())
         retries = self._retries.setdefault(pool, deque())
         self._drop_old(calls, now_ms)
         self._drop_old(retries, now_ms)
-        allowance = self._allowance / max(1, sharers)
+        allowance = self._allowance / max(1, node_count)
         most = SAFETY * (self._ratio * len(calls) + allowance)
         return len(retries) + 1 <= most
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/route.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/route.py
@@ -31,7 +31,7 @@
     """Longest pause between a stream's events that counts as good; 0 without one."""
     priority: int
     """0 is the most urgent."""
-    most_runners: int
+    max_runners: int
     """To how many runners one call may be sent."""
     is_public: bool
     """Whether calls need no key."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
@@ -143,7 +143,7 @@
             self._last_store_answer_ms - since_ms < RETURN_TIME_MS
         )
 
-    def record_outage(self) -> None:
+    def record_store_failure(self) -> None:
         """Note that the store does not answer this node."""
         if not self._is_store_unreachable:
             self._answering_since_ms = None
@@ -158,7 +158,7 @@
             self._answering_since_ms = at_ms
         self._last_store_answer_ms = at_ms
 
-    def record_outage_end(self, *, now_ms: float) -> None:
+    def record_store_recovery(self, *, now_ms: float) -> None:
         """Note that the store answers this node again.
 
         Several kinds of calls report their recovery. All of them use the cause found
@@ -217,7 +217,7 @@
         record = self._records[runner.runner_id]
         return DirectoryChanges(self.revision, self.revision, (record,), ())
 
-    def lacks(self, record: RunnerRecord) -> bool:
+    def is_newer(self, record: RunnerRecord) -> bool:
         """Whether a record is newer than what is known of its runner."""
         known = self._records.get(record.runner.runner_id)
         return known is None or known.revision < record.revision
@@ -227,7 +227,7 @@
         known = self._records.get(record.runner.runner_id)
         return known is not None and known.revision == record.revision
 
-    def follows_on(self, changes: DirectoryChanges) -> bool:
+    def is_contiguous_with(self, changes: DirectoryChanges) -> bool:
         """Whether nothing is missing between this directory and the changes."""
         return 0 < self.revision >= changes.base_revision
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_watch.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_health.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd
+from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
 
 if TYPE_CHECKING:
     from clementineyoke_core.runner import Runner
@@ -35,7 +35,7 @@
 EMPTY = Tally(0.0, 0.0, 0.0)
 
 
-class RunnerWatch:
+class RunnerHealth:
     """Quarantine runners on transport failures and on too many failed calls.
 
     A runner may fail part of its calls while its status check is good. Calls would go
@@ -54,11 +54,13 @@
         self._tallies[runner.lifetime] = tally._replace(successes=tally.successes + 1)
         self._table.record_success(runner.runner_id)
 
-    def record_failure(self, runner: Runner, *, end: AttemptEnd, now_ms: float) -> None:
+    def record_failure(
+        self, runner: Runner, *, outcome: AttemptOutcome, now_ms: float
+    ) -> None:
         """Note a failed attempt; may quarantine the runner."""
         if not self._table.is_current(runner):
             return
-        if end is AttemptEnd.NOT_SENT:
+        if outcome is AttemptOutcome.NOT_SENT:
             self._table.record_transport_failure(runner.runner_id, now_ms=now_ms)
             return
         tally = self._tally(runner, now_ms)
@@ -68,9 +70,9 @@
         if tally.failures >= LEAST_FAILURES and share > LARGEST_SHARE:
             self._table.record_transport_failure(runner.runner_id, now_ms=now_ms)
 
-    def forget(self, kept: set[str]) -> None:
+    def retain(self, live_lifetimes: set[str]) -> None:
         """Drop what is known of lifetimes that are over."""
-        for lifetime in self._tallies.keys() - kept:
+        for lifetime in self._tallies.keys() - live_lifetimes:
             del self._tallies[lifetime]
 
     def _tally(self, runner: Runner, now_ms: float) -> Tally:
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/start_wait.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/startup_wait.py
@@ -12,7 +12,7 @@
 that was seen, 4.6 MB."""
 
 
-class StartWait:
+class StartupWait:
     """Let calls wait for a node's first state, while it can be expected.
 
     A node that has just started refused what came in its first moment with a time to
@@ -25,11 +25,11 @@
         self._started_ms = 0.0
         self._waiting = 0
 
-    def begin(self, *, now_ms: float) -> None:
+    def record_start(self, *, now_ms: float) -> None:
         """Note the node's start."""
         self._started_ms = now_ms
 
-    def enter(self, *, now_ms: float) -> float:
+    def begin_wait(self, *, now_ms: float) -> float:
         """Return how long a call may wait, 0 for not at all; ``leave`` follows."""
         self._waiting += 1
         if self._waiting > MOST_WAITING:
@@ -37,6 +37,6 @@
         left_ms = self._started_ms + START_MS - now_ms
         return max(0.0, min(LONGEST_WAIT_MS, left_ms))
 
-    def leave(self) -> None:
+    def end_wait(self) -> None:
         """Note that a call waits no longer."""
         self._waiting -= 1
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/store_freshness.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/store_freshness.py
@@ -12,7 +12,7 @@
 node's own call, which a slow store was seen to answer in 0.4 s."""
 
 
-class Followed(Enum):
+class ViewPart(Enum):
     """What nodes follow in the store."""
 
     STATE = "state"
@@ -42,26 +42,26 @@
 
     def __init__(self, *, bound_ms: float) -> None:
         self._limit_ms = LIMIT_SHARE * bound_ms
-        self._confirmed_ms: dict[Followed, float] = {}
+        self._confirmed_ms: dict[ViewPart, float] = {}
 
-    def confirm(self, followed: Followed, *, now_ms: float, age_ms: float = 0) -> None:
+    def confirm(self, part: ViewPart, *, now_ms: float, age_ms: float = 0) -> None:
         """Note that the view was the store's newest some time ago."""
-        known_ms = self._confirmed_ms.get(followed, now_ms - OLDEST_TOLD_MS)
-        self._confirmed_ms[followed] = max(known_ms, now_ms - age_ms)
+        known_ms = self._confirmed_ms.get(part, now_ms - OLDEST_TOLD_MS)
+        self._confirmed_ms[part] = max(known_ms, now_ms - age_ms)
 
-    def is_stale(self, followed: Followed, *, now_ms: float) -> bool:
+    def is_stale(self, part: ViewPart, *, now_ms: float) -> bool:
         """Whether the view may lack what the operator expects to be in force soon."""
-        return self._age_ms(followed, now_ms) > self._limit_ms
+        return self._age_ms(part, now_ms) > self._limit_ms
 
     def ages(self, *, now_ms: float) -> StoreAges:
         """Return what to tell other nodes."""
         return StoreAges(
-            int(self._age_ms(Followed.STATE, now_ms)),
-            int(self._age_ms(Followed.RUNNERS, now_ms)),
-            int(self._age_ms(Followed.EVACUATIONS, now_ms)),
+            int(self._age_ms(ViewPart.STATE, now_ms)),
+            int(self._age_ms(ViewPart.RUNNERS, now_ms)),
+            int(self._age_ms(ViewPart.EVACUATIONS, now_ms)),
         )
 
-    def _age_ms(self, followed: Followed, now_ms: float) -> float:
+    def _age_ms(self, followed: ViewPart, now_ms: float) -> float:
         confirmed_ms = self._confirmed_ms.get(followed)
         if confirmed_ms is None:
             return OLDEST_TOLD_MS
--- a/packages/clementineyoke-core/src/clementineyoke_core/fault_share.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/fault_rate_breaker.py
@@ -10,7 +10,7 @@
 """Three faults close to each other; fewer may be the calls' own."""
 LARGEST_SHARE = 0.2
 """Faulty share that is still ordinary; services fail a seventh of some calls."""
-FIRST_PAUSE_MS = 1_000.0
+MIN_PAUSE_MS = 1_000.0
 LONGEST_PAUSE_MS = 8_000.0
 PAUSE_GROWTH = 2.0
 
@@ -25,7 +25,7 @@
     pause_ms: float = 0.0
 
 
-class FaultShare:
+class FaultRateBreaker:
     """Pause runners that fail while their status check is good.
 
     One node sees a small part of a runner's calls: with nine nodes and six runners two
@@ -51,7 +51,7 @@
         is_paused = tally.until_ms > now_ms
         if is_paused or tally.faults < LEAST_FAULTS or share <= LARGEST_SHARE:
             return False
-        pause_ms = max(FIRST_PAUSE_MS, PAUSE_GROWTH * tally.pause_ms)
+        pause_ms = max(MIN_PAUSE_MS, PAUSE_GROWTH * tally.pause_ms)
         pause_ms = min(LONGEST_PAUSE_MS, pause_ms)
         self._tallies[runner_id] = tally._replace(
             until_ms=now_ms + pause_ms, pause_ms=pause_ms
@@ -63,7 +63,7 @@
         tally = self._tallies.get(runner_id)
         return tally is not None and tally.until_ms > now_ms
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop what is known of a runner."""
         self._tallies.pop(runner_id, None)
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
@@ -39,7 +39,7 @@
         """The members in force, sorted."""
         return self._members
 
-    def replace(self, members: Iterable[str]) -> bool:
+    def set_members(self, members: Iterable[str]) -> bool:
         """Take a new set of members; return whether anything changed."""
         wanted = tuple(sorted(set(members)))
         if wanted == self._members:
--- a/packages/clementineyoke-core/src/clementineyoke_core/homes.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/home_nodes.py
@@ -8,7 +8,7 @@
 from clementineyoke_core.hashing import hash_text
 
 
-class Homes:
+class HomeNodes:
     """Give each name (of a team's budget, a claim shard) one home among the nodes.
 
     Two nodes whose views differ for seconds may name two homes. That is harmless by
@@ -20,9 +20,9 @@
         self._ring = HashRing()
         self._cache: dict[str, str | None] = {}
 
-    def replace_nodes(self, node_ids: list[str]) -> bool:
+    def set_nodes(self, node_ids: list[str]) -> bool:
         """Take the nodes now believed alive; return whether homes may have moved."""
-        changed = self._ring.replace(node_ids)
+        changed = self._ring.set_members(node_ids)
         if changed:
             self._cache.clear()
         return changed
@@ -33,6 +33,6 @@
             self._cache[name] = self._ring.first(hash_text(name))
         return self._cache[name]
 
-    def homes_of(self, key: int, *, most: int) -> list[str]:
+    def homes_of(self, key: int, *, max_nodes: int) -> list[str]:
         """Return the nodes that are homes of a 64-bit key, the first one first."""
-        return list(islice(self._ring.order(key), most))
+        return list(islice(self._ring.order(key), max_nodes))
--- a/packages/clementineyoke-core/src/clementineyoke_core/load_bound.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/load_bound.py
@@ -27,7 +27,7 @@
 DEFAULT_BOUND = LoadBound()
 
 
-def bound_slots(
+def compute_load_bound(
     *,
     mean_load: float,
     slots: int,
@@ -44,7 +44,7 @@
     return min(most, bound)
 
 
-def bound_by_home(
+def compute_home_bound(
     *,
     estimated_mean: float,
     seen_mean: float,
@@ -53,7 +53,7 @@
 ) -> int:
     """Return the bound a home applies, from its estimate and an ask's evidence."""
     mean_load = max(estimated_mean * ESTIMATE_MARGIN, seen_mean)
-    return bound_slots(
+    return compute_load_bound(
         mean_load=mean_load,
         slots=slots,
         factor=load_bound.factor,
--- a/packages/clementineyoke-core/src/clementineyoke_core/mean_load.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/mean_load.py
@@ -20,7 +20,7 @@
 NOTHING = LoadShare(0.0, 0.0)
 
 
-class MeanLoad:
+class MeanLoadEstimator:
     """Push-pull averaging of (load, runners) pairs, one pair a pool.
 
     Each exchange moves both sides to their average, so sums are conserved and the
--- a/packages/clementineyoke-core/src/clementineyoke_core/membership.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from clementineyoke_core.rumour import NodeState, Rumour
+from clementineyoke_core.membership_update import MembershipUpdate, NodeState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -28,14 +28,16 @@
     itself outbids it with a higher incarnation, so a false alarm heals.
     """
 
-    def __init__(self, *, own: Node, incarnation: int, rng: Random) -> None:
-        self._own = own
-        self.started = incarnation
+    def __init__(self, *, local_node: Node, incarnation: int, rng: Random) -> None:
+        self._own = local_node
+        self.initial_incarnation = incarnation
         """The incarnation that this process began with; no other process had it."""
         self._rng = rng
-        self._nodes: dict[str, Node] = {own.node_id: own}
-        self._newest: dict[str, Rumour] = {
-            own.node_id: Rumour(own.node_id, incarnation, NodeState.ALIVE)
+        self._nodes: dict[str, Node] = {local_node.node_id: local_node}
+        self._newest: dict[str, MembershipUpdate] = {
+            local_node.node_id: MembershipUpdate(
+                local_node.node_id, incarnation, NodeState.ALIVE
+            )
         }
         self._listed_leaving: set[str] = set()
         self._misses: dict[str, int] = {}
@@ -45,7 +47,7 @@
         self._heard: set[str] = set()
 
     @property
-    def own(self) -> Node:
+    def local_node(self) -> Node:
         """The node that holds this view."""
         return self._own
 
@@ -54,7 +56,7 @@
         """The own incarnation; grows when it refutes a rumour."""
         return self._newest[self._own.node_id].incarnation
 
-    def replace_listed(self, *, live: Iterable[Node], leaving: Iterable[Node]) -> None:
+    def apply_host_list(self, *, live: Iterable[Node], leaving: Iterable[Node]) -> None:
         """Take a new host list; nodes that are not on it are forgotten."""
         nodes = {node.node_id: node for node in live}
         going = {node.node_id: node for node in leaving}
@@ -112,7 +114,7 @@
             and region in (None, node.region)
         ]
 
-    def heard(self, *, region: str | None = None) -> list[Node]:
+    def confirmed_alive(self, *, region: str | None = None) -> list[Node]:
         """Return the nodes alive that have made themselves heard, the own among them.
 
         Nodes that were read of may not be up: after a loss of power the list is whole
@@ -122,31 +124,33 @@
             node for node in self.alive(region=region) if self.has_heard(node.node_id)
         ]
 
-    def sample(self, most: int) -> list[Node]:
+    def sample(self, max_nodes: int) -> list[Node]:
         """Return some other nodes alive, drawn at random."""
         others = [node for node in self.alive() if node != self._own]
-        return self._rng.sample(others, min(most, len(others)))
+        return self._rng.sample(others, min(max_nodes, len(others)))
 
-    def hear(self, rumour: Rumour) -> bool:
+    def apply_update(self, update: MembershipUpdate) -> bool:
         """Take a rumour; return whether the view of that node changed."""
-        if rumour.node_id == self._own.node_id:
-            return self._refute(rumour)
-        known = self._rumour_of(rumour.node_id)
-        if not rumour.beats(known):
+        if update.node_id == self._own.node_id:
+            return self._refute(update)
+        known = self._rumour_of(update.node_id)
+        if not update.beats(known):
             return False
-        self._newest[rumour.node_id] = rumour
-        if rumour.state is not NodeState.ALIVE or known.state is not NodeState.ALIVE:
+        self._newest[update.node_id] = update
+        if update.state is not NodeState.ALIVE or known.state is not NodeState.ALIVE:
             # That a node lives is no news to whoever believes so. Told all the same it
             # fills the messages for the first minute of a fleet, in which each node
             # meets all others, and the news of a dead one waits behind it.
-            self._spread(rumour.node_id)
-        return rumour.state is not known.state
+            self._spread(update.node_id)
+        return update.state is not known.state
 
-    def record_heard(self, node_id: str, *, incarnation: int) -> bool:
+    def record_message(self, node_id: str, *, incarnation: int) -> bool:
         """Note a message from a node; return whether it was believed down."""
         self._misses.pop(node_id, None)
         self._heard.add(node_id)
-        return self.hear(Rumour(node_id, incarnation, NodeState.ALIVE))
+        return self.apply_update(
+            MembershipUpdate(node_id, incarnation, NodeState.ALIVE)
+        )
 
     def suspect(self, node_id: str) -> None:
         """Note that a node left other traffic unanswered: it is probed next.
@@ -157,7 +161,7 @@
         if self.state(node_id) is NodeState.ALIVE:
             self._misses.setdefault(node_id, 0)
 
-    def record_missed(self, node_id: str) -> bool:
+    def record_missed_probe(self, node_id: str) -> bool:
         """Note an unanswered probe; return whether the node is now believed down."""
         if self.state(node_id) is not NodeState.ALIVE:
             return False
@@ -166,7 +170,9 @@
         if misses < MISSES_UNTIL_DOWN:
             return False
         known = self._rumour_of(node_id)
-        return self.hear(Rumour(node_id, known.incarnation, NodeState.DOWN))
+        return self.apply_update(
+            MembershipUpdate(node_id, known.incarnation, NodeState.DOWN)
+        )
 
     @property
     def is_leaving(self) -> bool:
@@ -176,7 +182,7 @@
     def begin_leaving(self) -> None:
         """Tell the others that this node is leaving."""
         own_id = self._own.node_id
-        rumour = Rumour(own_id, self.incarnation + 1, NodeState.LEAVING)
+        rumour = MembershipUpdate(own_id, self.incarnation + 1, NodeState.LEAVING)
         self._newest[own_id] = rumour
         self._spread(own_id)
 
@@ -195,7 +201,7 @@
             if node is not None:
                 return node
 
-    def rumours_to_send(self, *, receiver: str) -> list[Rumour]:
+    def updates_to_send(self, *, receiver: str) -> list[MembershipUpdate]:
         """Return the least-told rumours, each told a bounded number of times.
 
         A receiver that is believed down or leaving is always told so: after a
@@ -217,7 +223,7 @@
             chosen.append(self._own.node_id)
         return [self._rumour_of(node_id) for node_id in chosen]
 
-    def _refute(self, rumour: Rumour) -> bool:
+    def _refute(self, rumour: MembershipUpdate) -> bool:
         own = self._newest[self._own.node_id]
         if own.state is NodeState.ALIVE and rumour.beats(own):
             self._newest[own.node_id] = own._replace(incarnation=rumour.incarnation + 1)
@@ -228,5 +234,5 @@
         rounds = math.ceil(math.log2(len(self._nodes) + 1))
         self._sends_left[node_id] = RUMOUR_SPREAD_FACTOR * rounds
 
-    def _rumour_of(self, node_id: str) -> Rumour:
-        return self._newest.get(node_id, Rumour(node_id, 0, NodeState.ALIVE))
+    def _rumour_of(self, node_id: str) -> MembershipUpdate:
+        return self._newest.get(node_id, MembershipUpdate(node_id, 0, NodeState.ALIVE))
--- a/packages/clementineyoke-core/src/clementineyoke_core/rumour.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership_update.py
@@ -14,13 +14,13 @@
     LEAVING = 2
 
 
-class Rumour(NamedTuple):
+class MembershipUpdate(NamedTuple):
     """A node's state, as of one of its incarnations."""
 
     node_id: str
     incarnation: int
     state: NodeState
 
-    def beats(self, other: Rumour) -> bool:
+    def beats(self, other: MembershipUpdate) -> bool:
         """Tell whether this is newer than another rumour of the same node."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
--- a/packages/clementineyoke-core/src/clementineyoke_core/placement_token.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/placement_token.py
@@ -8,7 +8,7 @@
     from clementineyoke_core.token_signer import TokenSigner
 
 
-class ChatPlace(NamedTuple):
+class ChatScope(NamedTuple):
     """Whose chat a token is for."""
 
     team_path: str
@@ -17,7 +17,7 @@
     """The chat's 64-bit key."""
 
 
-class PlacementToken:
+class PlacementTokenCodec:
     """Issue and read tokens; the fleet itself remembers no chat.
 
     15 million chats do not fit a node. A token is only a preference under the bound:
@@ -28,14 +28,14 @@
     def __init__(self, *, signer: TokenSigner) -> None:
         self._signer = signer
 
-    def issue(self, place: ChatPlace, runner_id: str) -> str:
+    def issue(self, place: ChatScope, runner_id: str) -> str:
         """Return the token that names a runner for a chat."""
         return self._signer.sign(_scope(place), runner_id)
 
-    def read(self, place: ChatPlace, token: str) -> str | None:
+    def read(self, place: ChatScope, token: str) -> str | None:
         """Return the runner that a token names, or None if it is not ours."""
         return self._signer.read(_scope(place), token)
 
 
-def _scope(place: ChatPlace) -> str:
+def _scope(place: ChatScope) -> str:
     return f"place\0{place.team_path}\0{place.pool}\0{place.key}"
--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -32,7 +32,7 @@
                 pool = members.setdefault(entry.runner.pool, [])
                 pool.append(entry.runner.runner_id)
         for pool_name, runner_ids in members.items():
-            self._rings.setdefault(pool_name, HashRing()).replace(runner_ids)
+            self._rings.setdefault(pool_name, HashRing()).set_members(runner_ids)
 
     def order(self, pool: str, key: int) -> Iterator[str]:
         """Yield the pool's ready runners, the best for the key first.
@@ -54,7 +54,7 @@
         if not found_ready:
             yield from quarantined
 
-    def closed_before(
+    def unavailable_before(
         self, pool: str, key: int, runner_id: str
     ) -> Iterator[tuple[str, str]]:
         """Yield who precedes a runner in a key's order and takes no calls, and why."""
@@ -68,7 +68,7 @@
             if why is not None:
                 yield other_id, why
 
-    def holders(self, pool: str, key: int) -> Iterator[str]:
+    def cache_candidates(self, pool: str, key: int) -> Iterator[str]:
         """Yield who may hold what was cached by a key, the most likely first.
 
         Runners that are leaving, or whose zone is emptied, still answer for their
--- a/packages/clementineyoke-core/src/clementineyoke_core/reachability.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/reachability_breaker.py
@@ -25,7 +25,7 @@
     pause_ms: float = 0.0
 
 
-class Reachability:
+class ReachabilityBreaker:
     """Pause runners that several nodes cannot reach while nobody is answered.
 
     A dead runner is met by each node on its own, and by each a call or two: on 195
@@ -67,6 +67,6 @@
         silence = self._silences.get(runner_id)
         return silence is not None and silence.until_ms > now_ms
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop what is known of a runner."""
         self._silences.pop(runner_id, None)
--- a/packages/clementineyoke-core/src/clementineyoke_core/retry_budget.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/retry_budget.py
@@ -16,17 +16,17 @@
     """
 
     def __init__(
-        self, *, share: float = RETRY_SHARE, most_saved: float = MOST_SAVED
+        self, *, ratio: float = RETRY_SHARE, max_balance: float = MOST_SAVED
     ) -> None:
-        self._share = share
-        self._most_saved = most_saved
-        self._saved = most_saved
+        self._share = ratio
+        self._most_saved = max_balance
+        self._saved = max_balance
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Note a request's first attempt."""
         self._saved = min(self._most_saved, self._saved + self._share)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take a retry from the budget; False when there is none left."""
         if self._saved < 1.0:
             return False
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_homes.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_homes.py
@@ -27,11 +27,11 @@
         self._ring = HashRing()
         self._homes: dict[str, str] = {}
 
-    def replace(
+    def reassign(
         self, *, nodes: Sequence[str], pools: Mapping[str, Sequence[str]]
     ) -> bool:
         """Take the nodes alive and all runners by pool; return whether homes moved."""
-        self._ring.replace(nodes)
+        self._ring.set_members(nodes)
         homes: dict[str, str] = {}
         for runner_ids in pools.values():
             homes.update(self._assign(runner_ids))
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
@@ -45,7 +45,7 @@
         self._backoffs: dict[str, float] = {}
         """Until when this node backs off from which lifetimes; monotonic."""
 
-    def set_evacuated(self, zones: dict[str, int]) -> None:
+    def set_evacuated_zones(self, zones: dict[str, int]) -> None:
         """Take the zones whose runners get nothing new, with the orders' revisions."""
         self._evacuated = zones
 
@@ -57,7 +57,7 @@
         """Whether the operator wants nothing new for a runner's zone."""
         return runner.availability_zone in self._evacuated
 
-    def replace_listed(
+    def apply_host_list(
         self, *, live: Iterable[Runner], leaving: Iterable[Runner], now_ms: float
     ) -> bool:
         """Take a new host list; return whether the set of runners changed."""
@@ -134,7 +134,7 @@
             return "draining"
         return "backoff" if self.is_backed_off(entry.runner) else None
 
-    def backoff_left_ms(self, pool: str, *, now_ms: float) -> float:
+    def backoff_remaining_ms(self, pool: str, *, now_ms: float) -> float:
         """Return the shortest time left to back off from a runner of a pool.
 
         0 if there is none. Draining runners and those of an emptied zone are left out:
@@ -163,7 +163,7 @@
         self._backoffs[runner.lifetime] = until_ms
         return True
 
-    def end_due_backoffs(self, *, now_ms: float) -> None:
+    def end_expired_backoffs(self, *, now_ms: float) -> None:
         """Let calls go again to runners whose backoff is over."""
         for lifetime in [name for name, due in self._backoffs.items() if due <= now_ms]:
             del self._backoffs[lifetime]
@@ -206,7 +206,7 @@
         if entry is not None and entry.failures:
             self._entries[runner_id] = entry._replace(failures=0)
 
-    def end_due_quarantines(self, *, now_ms: float) -> list[str]:
+    def end_expired_quarantines(self, *, now_ms: float) -> list[str]:
         """Let runners back whose quarantine is over, and return their ids.
 
         For runners whose status checks have a price or say little: the next call is
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
@@ -34,7 +34,7 @@
     return path.rsplit("/", 1)[0] or ROOT
 
 
-def find_faults(document: object) -> list[SettingsFault]:
+def find_violations(document: object) -> list[SettingsFault]:
     """Return every fault of a document of path to values; empty means valid."""
     if not isinstance(document, dict):
         return [SettingsFault("", "", "the document is not an object of paths")]
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
@@ -26,7 +26,7 @@
     """Whether it is held back for another reason than its load."""
 
 
-class SlotHold(NamedTuple):
+class SlotHolder(NamedTuple):
     """Who holds a slot: the asking node and its own number for the request."""
 
     node_id: str
@@ -43,28 +43,28 @@
 
     def __init__(self, *, lease_ms: float = GRANT_LEASE_MS) -> None:
         self._lease_ms = lease_ms
-        self._expiry_ms: dict[str, dict[SlotHold, float]] = {}
+        self._expiry_ms: dict[str, dict[SlotHolder, float]] = {}
 
-    def ask(
-        self, runner_id: str, hold: SlotHold, *, bound: int, now_ms: float
+    def acquire(
+        self, runner_id: str, holder: SlotHolder, *, bound: int, now_ms: float
     ) -> Result[SlotGrant, SlotRefusal]:
         """Grant a slot under the bound, or refuse with the load that was seen."""
         holds = self._expiry_ms.setdefault(runner_id, {})
-        if hold not in holds and len(holds) >= bound:
+        if holder not in holds and len(holds) >= bound:
             return Failure(SlotRefusal(runner_id, len(holds)))
-        holds[hold] = now_ms + self._lease_ms
+        holds[holder] = now_ms + self._lease_ms
         return Success(SlotGrant(runner_id, len(holds)))
 
-    def renew(self, runner_id: str, hold: SlotHold, *, now_ms: float) -> None:
+    def renew(self, runner_id: str, holder: SlotHolder, *, now_ms: float) -> None:
         """Keep a grant alive, adopting it when another home had given it."""
         holds = self._expiry_ms.setdefault(runner_id, {})
-        holds[hold] = now_ms + self._lease_ms
+        holds[holder] = now_ms + self._lease_ms
 
-    def release(self, runner_id: str, hold: SlotHold) -> None:
+    def release(self, runner_id: str, holder: SlotHolder) -> None:
         """Give a slot back; a repeat or an unknown release does nothing."""
-        self._expiry_ms.get(runner_id, {}).pop(hold, None)
+        self._expiry_ms.get(runner_id, {}).pop(holder, None)
 
-    def expire(self, *, now_ms: float) -> list[tuple[str, SlotHold]]:
+    def expire(self, *, now_ms: float) -> list[tuple[str, SlotHolder]]:
         """Drop the grants that nobody renewed and return them."""
         lapsed = [
             (runner_id, hold)
@@ -76,7 +76,7 @@
             del self._expiry_ms[runner_id][hold]
         return lapsed
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop a runner whose home has moved elsewhere."""
         self._expiry_ms.pop(runner_id, None)
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_queue.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_queue.py
@@ -5,21 +5,21 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from clementineyoke_core.slot_ledger import SlotHold
+    from clementineyoke_core.slot_ledger import SlotHolder
 
 MOST_WAITING = 64
 """Requests that wait for one runner; more would only wait past their deadlines."""
 
 
-class WaitingAsk(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits, and until when its asker does."""
 
-    hold: SlotHold
+    holder: SlotHolder
     team: int
     """Hash of the team's path."""
     priority: int
     """0 is served first."""
-    gives_up_ms: float
+    expires_at_ms: float
 
 
 class SlotQueue:
@@ -32,13 +32,13 @@
 
     def __init__(self, *, most_waiting: int = MOST_WAITING) -> None:
         self._most_waiting = most_waiting
-        self._waiting: list[WaitingAsk] = []
+        self._waiting: list[QueuedRequest] = []
         self._turns: dict[int, int] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, ask: WaitingAsk) -> WaitingAsk | None:
+    def add(self, ask: QueuedRequest) -> QueuedRequest | None:
         """Let a request wait; return the one that is turned away, if any.
 
         In a full queue that is the request which would be served last.
@@ -56,15 +56,15 @@
         self._waiting.remove(last)
         return last
 
-    def remove(self, hold: SlotHold) -> bool:
+    def remove(self, holder: SlotHolder) -> bool:
         """Take a request out that no longer waits; return whether it was here."""
         before = len(self._waiting)
-        self._waiting = [ask for ask in self._waiting if ask.hold != hold]
+        self._waiting = [ask for ask in self._waiting if ask.holder != holder]
         return len(self._waiting) < before
 
-    def pop_next(self, *, now_ms: float) -> WaitingAsk | None:
+    def pop_next(self, *, now_ms: float) -> QueuedRequest | None:
         """Return the request to serve now, forgetting those that have given up."""
-        self._waiting = [ask for ask in self._waiting if ask.gives_up_ms > now_ms]
+        self._waiting = [ask for ask in self._waiting if ask.expires_at_ms > now_ms]
         if not self._waiting:
             return None
         chosen = min(self._waiting, key=self._rank)
@@ -72,7 +72,7 @@
         self._turns[chosen.team] = self._turns.get(chosen.team, 0) + 1
         return chosen
 
-    def _rank(self, ask: WaitingAsk) -> tuple[int, int, int]:
+    def _rank(self, ask: QueuedRequest) -> tuple[int, int, int]:
         place = self._waiting.index(ask)
         ahead = sum(
             1
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_search.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_search.py
@@ -86,11 +86,11 @@
         refused = _Refused(is_held, in_use, attempt.rank, attempt.runner_id)
         self._refused.append(refused)
 
-    def record_silence(self, attempt: SlotAttempt) -> None:
+    def record_timeout(self, attempt: SlotAttempt) -> None:
         """Note that a home did not answer in time."""
         self._silent.append((attempt.rank, attempt.runner_id))
 
-    def held_back(self) -> list[str]:
+    def held_runner_ids(self) -> list[str]:
         """Return the runners that were refused for another reason than their load."""
         return [one.runner_id for one in self._refused if one.is_held]
 
@@ -98,7 +98,7 @@
         self,
         last_loads: dict[str, int],
         *,
-        may_take: Callable[[str], bool] = lambda _: True,
+        is_eligible: Callable[[str], bool] = lambda _: True,
     ) -> SlotAttempt | None:
         """Return the less loaded of two silent homes' runners, by what is known.
 
@@ -106,7 +106,7 @@
         has noticed, some seconds. ``may_take`` tells which runners may get a call that
         no home has counted.
         """
-        left = [silent for silent in self._silent if may_take(silent[1])]
+        left = [silent for silent in self._silent if is_eligible(silent[1])]
         if not left:
             return None
         rank, runner_id = min(left, key=lambda silent: last_loads.get(silent[1], 0))
--- a/packages/clementineyoke-core/src/clementineyoke_core/steering.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/steering.py
@@ -36,14 +36,14 @@
         self._node_rate_per_s = node_rate_per_s
         self._keep_ms = keep_ms
 
-    def answer(
+    def choose_nodes(
         self,
         *,
         team: str,
         team_rate_per_s: float,
         alive: list[Node],
         chat_home: str | None = None,
-        turn: int = 0,
+        rotation: int = 0,
     ) -> SteeringAnswer:
         """Return the team's nodes, the home of the chat's runner first.
 
@@ -55,7 +55,7 @@
         chosen = spread_over_zones(ranked)[:wanted]
         first = [node for node in alive if node.node_id == chat_home]
         rest = [node for node in chosen if node.node_id != chat_home]
-        start = turn % max(1, len(rest))
+        start = rotation % max(1, len(rest))
         return SteeringAnswer(first + rest[start:] + rest[:start], self._keep_ms)
 
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/team_purse.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/team_budget_share.py
@@ -6,7 +6,7 @@
 ASK_AHEAD_MS = 250
 
 
-class TeamPurse:
+class TeamBudgetShare:
     """Spend tokens granted by the home and say how many to ask for next.
 
     A share lapses after four seconds: a node that no longer sees the team would keep
@@ -19,7 +19,7 @@
         self._spent_since_ask = 0
         self._asked_ms = 0.0
 
-    def spend_one(self, *, now_ms: float) -> bool:
+    def try_spend(self, *, now_ms: float) -> bool:
         """Spend a token of the share, if one is left."""
         self._spent_since_ask += 1
         if now_ms >= self._lapses_ms:
@@ -29,7 +29,7 @@
         self._tokens -= 1.0
         return True
 
-    def tokens_to_ask(self, *, now_ms: float) -> int:
+    def tokens_to_request(self, *, now_ms: float) -> int:
         """Return how many tokens cover the next moments at the rate seen lately."""
         elapsed_ms = max(1.0, now_ms - self._asked_ms)
         self._asked_ms = now_ms
@@ -37,7 +37,7 @@
         self._spent_since_ask = 0
         return max(1, round(expected))
 
-    def receive(self, tokens: float, *, now_ms: float) -> None:
+    def add_tokens(self, tokens: float, *, now_ms: float) -> None:
         """Add a share that the home granted."""
         if now_ms >= self._lapses_ms:
             self._tokens = 0.0
--- a/packages/clementineyoke-core/tests/steps/backoff_steps.py
+++ b/packages/clementineyoke-core/tests/steps/backoff_steps.py
@@ -28,22 +28,22 @@
 
 @when("backoffs are looked at {now_ms:d} ms")
 def end_backoffs(context, now_ms):
-    context.runner_table.end_due_backoffs(now_ms=float(now_ms))
+    context.runner_table.end_expired_backoffs(now_ms=float(now_ms))
 
 
 @when("{name} starts anew under its id")
 def start_anew(context, name):
     live = [make_runner(other, born_ms=int(other == name)) for other in context.names]
-    context.runner_table.replace_listed(live=live, leaving=[], now_ms=NOW_MS)
+    context.runner_table.apply_host_list(live=live, leaving=[], now_ms=NOW_MS)
 
 
 @when("the last of them leaves")
 def last_leaves(context):
     *live, last = map(make_runner, context.names)
-    context.runner_table.replace_listed(live=live, leaving=[last], now_ms=NOW_MS)
+    context.runner_table.apply_host_list(live=live, leaving=[last], now_ms=NOW_MS)
 
 
 @then("the pool may be asked again at {at_ms:d} ms")
 def check_left(context, at_ms):
-    left_ms = context.runner_table.backoff_left_ms(POOL, now_ms=NOW_MS)
+    left_ms = context.runner_table.backoff_remaining_ms(POOL, now_ms=NOW_MS)
     assert left_ms == at_ms - NOW_MS, left_ms
--- a/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
+++ b/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
@@ -13,8 +13,8 @@
     WriteKind,
 )
 from clementineyoke_core.claims.decision import ClaimVerdict
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_core.claims.record import KeptAnswer
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_core.claims.record import StoredAnswer
 from clementineyoke_core.claims.segment import RING_SLOTS
 from clementineyoke_standins.platform.chain_platform import ChainPlatform
 
@@ -23,7 +23,7 @@
 
 
 def make_ask(key, holder, digest="digest"):
-    return ClaimAsk(key, holder, digest)
+    return ClaimAttempt(key, holder, digest)
 
 
 def write(context, number, asks, reports=(), wall_ms=START_MS):
@@ -34,14 +34,14 @@
         version = context.platform.land(update)
         if version is None:
             return False
-        home.written(update, version=version)
+        home.record_written(update, version=version)
         if update.kind is WriteKind.CLAIMS:
             return True
 
 
 def read_again(context, number):
     home = context.homes[number]
-    home.distrust()
+    home.mark_stale()
     home.load(context.platform.read())
 
 
@@ -72,8 +72,8 @@
 
 @when('holder {holder} reports at home {number:d} that it ran with answer "{text}"')
 def report(context, holder, number, text):
-    answer = KeptAnswer(200, "text/plain", text.encode())
-    context.homes[number].note(ClaimReport("score-1", holder, True, answer))
+    answer = StoredAnswer(200, "text/plain", text.encode())
+    context.homes[number].apply_report(ClaimReport("score-1", holder, True, answer))
 
 
 @when('home {number:d} writes at once that {holder} asks for and gives up "{key}"')
@@ -131,7 +131,7 @@
 
 def random_walk(rng, context):
     platform = ChainPlatform(shard=SHARD)
-    homes = [ClaimChain(shard=SHARD, span_ms=3, keep_ms=100_000) for _ in range(2)]
+    homes = [ClaimChain(shard=SHARD, span_ms=3, retention_ms=100_000) for _ in range(2)]
     pending = [None, None]
     granted = {}
     for now_ms in range(1, 60):
@@ -142,10 +142,10 @@
             update, pending[index] = pending[index], None
             version = platform.land(update)
             if version is None or rng.random() < 0.2:
-                home.distrust()
+                home.mark_stale()
                 context.steps["refused" if version is None else "lost"] += 1
             else:
-                home.written(update, version=version)
+                home.record_written(update, version=version)
                 context.steps[update.kind.value] += 1
                 check_grants(home, update, granted, context)
         elif not home.is_loaded:
--- a/packages/clementineyoke-core/tests/steps/cold_runners_steps.py
+++ b/packages/clementineyoke-core/tests/steps/cold_runners_steps.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.cold_pace import ColdPace
-from clementineyoke_core.cold_runners import ColdLimit, ColdRunners
+from clementineyoke_core.cold_runner_pacer import ColdRunnerPacer
+from clementineyoke_core.cold_runners import ColdRunnerLimit, ColdRunners
 from clementineyoke_core.runner import Runner, RunnerKind
 
 RUNNER = Runner("r", "127.0.0.1", 1, "zone", "region", RunnerKind.ENGINE, "pool", 64)
@@ -16,15 +16,15 @@
 )
 def given_cold(context, calls, lasts):
     context.cold = ColdRunners()
-    context.cold.set_limits({"pool": ColdLimit(calls, lasts)})
-    context.cold.record_word(RUNNER, left_ms=lasts, now_ms=0)
+    context.cold.set_limits({"pool": ColdRunnerLimit(calls, lasts)})
+    context.cold.record_report(RUNNER, remaining_ms=lasts, now_ms=0)
     context.asks = []
     context.words = {}
 
 
 @given("it is warm")
 def given_warm(context):
-    context.cold.record_word(RUNNER, left_ms=0, now_ms=0)
+    context.cold.record_report(RUNNER, remaining_ms=0, now_ms=0)
 
 
 @when("{rate:d} calls a second ask its home for it")
@@ -44,7 +44,7 @@
 
 @when("it says that it is cold for {left:d} ms")
 def say_now(context, left):
-    context.cold.record_word(RUNNER, left_ms=left, now_ms=0)
+    context.cold.record_report(RUNNER, remaining_ms=left, now_ms=0)
 
 
 @when("its zone returns")
@@ -54,12 +54,12 @@
 
 def play(context):
     """Return when calls were granted, with as many asks as there are."""
-    paces = [ColdPace() for _ in range(context.homes)]
+    paces = [ColdRunnerPacer() for _ in range(context.homes)]
     granted = []
     for now_ms in range(0, PLAYED_MS, SECOND_MS // context.rate):
         if now_ms in context.words:
             left_ms = context.words[now_ms]
-            context.cold.record_word(RUNNER, left_ms=left_ms, now_ms=now_ms)
+            context.cold.record_report(RUNNER, remaining_ms=left_ms, now_ms=now_ms)
         calls_per_s = context.cold.calls_per_s(RUNNER, now_ms=now_ms)
         for pace in paces:
             if calls_per_s is None:
@@ -103,9 +103,9 @@
 
 @then("it counts as cold for {lasts:d} ms")
 def check_cold(context, lasts):
-    assert context.cold.left_ms(RUNNER, now_ms=0) == lasts
+    assert context.cold.remaining_ms(RUNNER, now_ms=0) == lasts
 
 
 @then("it counts as warm")
 def check_warm(context):
-    assert context.cold.left_ms(RUNNER, now_ms=0) == 0
+    assert context.cold.remaining_ms(RUNNER, now_ms=0) == 0
--- a/packages/clementineyoke-core/tests/steps/crash_fleet.py
+++ b/packages/clementineyoke-core/tests/steps/crash_fleet.py
@@ -55,9 +55,9 @@
         self.now_ms = 0
         self.nodes = [CrashRecords() for _ in range(nodes)]
         self.homes = HashRing()
-        self.homes.replace([str(number) for number in range(nodes)])
+        self.homes.set_members([str(number) for number in range(nodes)])
         self.ring = HashRing()
-        self.ring.replace([str(number) for number in range(runners)])
+        self.ring.set_members([str(number) for number in range(runners)])
         self.on_runner = {str(number): [] for number in range(runners)}
         self.lifetimes = dict.fromkeys(self.on_runner, 0)
         self.down = set()
@@ -180,8 +180,8 @@
                 self.at(25, self.record, *sent)
 
     def record(self, home, digest, lifetime, sent_ms, ended_ms):
-        record = self.nodes[home].record_end(
-            digest, runner=lifetime, sent_ms=sent_ms, ended_ms=ended_ms
+        record = self.nodes[home].record_crash(
+            digest, lifetime=lifetime, sent_ms=sent_ms, crashed_ms=ended_ms
         )
         if record is not None:
             self.tell(home, digest, record)
@@ -193,11 +193,11 @@
                 self.at(1, self.take, peer, digest, record)
 
     def take(self, node, digest, record):
-        self.nodes[node].take(digest, record, now_ms=self.now_ms)
+        self.nodes[node].merge(digest, record, now_ms=self.now_ms)
 
     def gossip(self):
         for records in self.nodes:
-            shared = list(records.shared())
+            shared = list(records.records_to_share())
             peer = self.rng.randrange(len(self.nodes))
             for digest, record in self.rng.sample(shared, min(NOTES, len(shared))):
                 self.at(1, self.take, peer, digest, record)
@@ -207,7 +207,7 @@
         node = self.rng.randrange(len(self.nodes))
         peer = self.rng.choice([n for n in range(len(self.nodes)) if n != node])
         self.nodes[node] = CrashRecords()
-        for digest, record in list(self.nodes[peer].shared()):
+        for digest, record in list(self.nodes[peer].records_to_share()):
             self.take(node, digest, record)
         self.at(gap_ms, self.restart_some, gap_ms)
 
--- a/packages/clementineyoke-core/tests/steps/crash_records_steps.py
+++ b/packages/clementineyoke-core/tests/steps/crash_records_steps.py
@@ -15,8 +15,8 @@
     ' "{request}" that was sent at {sent:d} ms'
 )
 def runner_ends(context, runner, ended, request, sent):
-    context.crash_records.record_end(
-        request.encode(), runner=runner, sent_ms=sent, ended_ms=ended
+    context.crash_records.record_crash(
+        request.encode(), lifetime=runner, sent_ms=sent, crashed_ms=ended
     )
 
 
@@ -37,12 +37,12 @@
 def peer_tells(context, request, runners, last):
     names = tuple(runners.split(", "))
     record = CrashRecord(0, len(names), names, last)
-    context.crash_records.take(request.encode(), record, now_ms=last + 50)
+    context.crash_records.merge(request.encode(), record, now_ms=last + 50)
 
 
 @when("old records are dropped at {now:d} ms")
 def drop_old(context, now):
-    context.crash_records.drop_old(now_ms=now)
+    context.crash_records.drop_expired(now_ms=now)
 
 
 @when("runners end with {count:d} other requests on them")
--- a/packages/clementineyoke-core/tests/steps/displacement_steps.py
+++ b/packages/clementineyoke-core/tests/steps/displacement_steps.py
@@ -4,19 +4,22 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.edge.displacement import DEAR_SHARE, load_share
-from clementineyoke_core.load_bound import LoadBound, bound_by_home
+from clementineyoke_core.edge.load_cap_share import (
+    LONG_PROMPT_CAP_SHARE,
+    load_cap_share,
+)
+from clementineyoke_core.load_bound import LoadBound, compute_home_bound
 
 SLOTS = 128
 SLACK_SLOTS = 3
 
 
 def bound(context, tokens):
-    return bound_by_home(
+    return compute_home_bound(
         estimated_mean=context.mean,
         seen_mean=0.0,
         slots=SLOTS,
-        load_bound=LoadBound(context.cap * load_share(tokens), SLACK_SLOTS),
+        load_bound=LoadBound(context.cap * load_cap_share(tokens), SLACK_SLOTS),
     )
 
 
@@ -48,8 +51,8 @@
 @then("the shares of the cap for prompts of {tokens} tokens rise")
 def check_rise(context, tokens):
     numbers = [int(n) for n in tokens.replace("and", ",").split(",") if n.strip()]
-    shares = [load_share(number) for number in numbers]
-    assert shares == sorted(shares) and shares[-1] == DEAR_SHARE, shares
+    shares = [load_cap_share(number) for number in numbers]
+    assert shares == sorted(shares) and shares[-1] == LONG_PROMPT_CAP_SHARE, shares
 
 
 RUNNERS = 3
@@ -63,8 +66,8 @@
 def surge(queue_share):
     """Return the waits of calls that found room, and how many found none."""
     rng = Random(1)
-    load_bound = LoadBound(2.0 * load_share(0), SLACK_SLOTS, queue_share)
-    most = bound_by_home(
+    load_bound = LoadBound(2.0 * load_cap_share(0), SLACK_SLOTS, queue_share)
+    most = compute_home_bound(
         estimated_mean=MEAN_LOAD,
         seen_mean=0.0,
         slots=RUNNER_SLOTS,
--- a/packages/clementineyoke-core/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-core/tests/steps/edge_steps.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 
 from clementineyoke_core.edge.admission import admit
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd, AttemptLedger
+from clementineyoke_core.edge.attempt_ledger import AttemptLedger, AttemptOutcome
+from clementineyoke_core.edge.attempt_timeouts import AttemptTimeouts
 from clementineyoke_core.edge.call_kind import CallKind
 from clementineyoke_core.edge.desired_state import CallerLimits, DesiredState, Team
 from clementineyoke_core.edge.edge_call import EdgeCall
 from clementineyoke_core.edge.event_splitter import EventSplitter
-from clementineyoke_core.edge.patience import Patience
 from clementineyoke_core.edge.retry_window import RetryWindow
 from clementineyoke_core.edge.route import Route, WeightedPool
 from clementineyoke_core.edge.route_table import RouteTable
@@ -21,8 +21,8 @@
     RunnerDirectory,
     RunnerRemoval,
 )
+from clementineyoke_core.edge.runner_health import RunnerHealth
 from clementineyoke_core.edge.runner_record import RunnerRecord
-from clementineyoke_core.edge.runner_watch import RunnerWatch
 from clementineyoke_core.pool_rings import PoolRings
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_core.runner import Runner, RunnerKind
@@ -43,7 +43,7 @@
         objective_ms=1_200.0,
         pause_objective_ms=400.0,
         priority=3,
-        most_runners=2,
+        max_runners=2,
         is_public=False,
         is_resumable=False,
         has_prompt=False,
@@ -62,28 +62,28 @@
 
 @given("a call that {may} be repeated, for at most {most:d} runners")
 def given_call(context, may, most):
-    context.ledger = AttemptLedger(may_repeat=may == "may", most_runners=most)
+    context.ledger = AttemptLedger(may_repeat=may == "may", max_runners=most)
 
 
 @when('its attempt at "{runner}" ends as "{end}"')
 def end_attempt(context, runner, end):
-    context.ledger.record(runner, AttemptEnd(end))
+    context.ledger.record(runner, AttemptOutcome(end))
 
 
 @when('{count:d} attempts end as "{end}"')
 def end_attempts(context, count, end):
     for number in range(count):
-        context.ledger.record(f"runner-{number}", AttemptEnd(end))
+        context.ledger.record(f"runner-{number}", AttemptOutcome(end))
 
 
 @then("it may be tried again")
 def check_again(context):
-    assert context.ledger.may_try_again()
+    assert context.ledger.may_retry()
 
 
 @then("it may not be tried again")
 def check_not_again(context):
-    assert not context.ledger.may_try_again()
+    assert not context.ledger.may_retry()
 
 
 @then("it may have run")
@@ -115,7 +115,9 @@
         for number in range(calls):
             now_ms = number * s * 1000.0 / calls
             window.record_call(POOL, now_ms=now_ms)
-            taken += window.take(POOL, sharers=len(context.windows), now_ms=now_ms)
+            taken += window.try_spend(
+                POOL, node_count=len(context.windows), now_ms=now_ms
+            )
         context.taken.append(taken)
 
 
@@ -131,12 +133,12 @@
 
 @then("nothing is left at {s:d} s")
 def check_nothing_left(context, s):
-    assert not context.windows[0].take(POOL, sharers=1, now_ms=s * 1000.0)
+    assert not context.windows[0].try_spend(POOL, node_count=1, now_ms=s * 1000.0)
 
 
 @then("there is something left at {s:d} s")
 def check_something_left(context, s):
-    assert context.windows[0].take(POOL, sharers=1, now_ms=s * 1000.0)
+    assert context.windows[0].try_spend(POOL, node_count=1, now_ms=s * 1000.0)
 
 
 # Events
@@ -157,17 +159,17 @@
 @then("it gave the events {numbers}")
 def check_events(context, numbers):
     wanted = [int(number) for number in numbers.split(",")]
-    assert [event.number for event in context.events] == wanted, context.events
+    assert [event.event_id for event in context.events] == wanted, context.events
 
 
 @then("it holds a part")
 def check_part(context):
-    assert context.splitter.has_part
+    assert context.splitter.has_partial_event
 
 
 @then("it holds no part")
 def check_no_part(context):
-    assert not context.splitter.has_part
+    assert not context.splitter.has_partial_event
 
 
 @then(
@@ -185,7 +187,7 @@
             events += splitter.feed(whole[place : place + size])
             place += size
         assert b"".join(event.body for event in events) == whole
-        assert [event.number for event in events] == list(range(count))
+        assert [event.event_id for event in events] == list(range(count))
 
 
 # Runners' entries
@@ -233,7 +235,7 @@
 
 @given("the store returned at {now:d} ms")
 def given_return(context, now):
-    context.directory.record_outage_end(now_ms=now)
+    context.directory.record_store_recovery(now_ms=now)
 
 
 @given("{name} says that it is leaving")
@@ -286,12 +288,12 @@
 
 @given("the store is away")
 def given_away(context):
-    context.directory.record_outage()
+    context.directory.record_store_failure()
 
 
 @when("the store returns at {now:d} ms")
 def store_returns(context, now):
-    context.directory.record_outage_end(now_ms=now)
+    context.directory.record_store_recovery(now_ms=now)
 
 
 @when(
@@ -392,7 +394,7 @@
 
 
 def follows(directory, base, revision):
-    return directory.follows_on(DirectoryChanges(base, revision, (), ()))
+    return directory.is_contiguous_with(DirectoryChanges(base, revision, (), ()))
 
 
 @then("changes from revision {base:d} to {revision:d} follow on it")
@@ -532,24 +534,24 @@
 
 @then("a prompt of {tokens:d} tokens is waited for longer than {ms:d} ms")
 def check_longer(context, tokens, ms):
-    assert patience(context).head_ms(context.route, prompt_tokens=tokens) > ms
+    assert patience(context).head_timeout_ms(context.route, prompt_tokens=tokens) > ms
 
 
 @then("a prompt of {tokens:d} tokens is waited for at most {ms:d} ms")
 def check_at_most(context, tokens, ms):
-    assert patience(context).head_ms(context.route, prompt_tokens=tokens) <= ms
+    assert patience(context).head_timeout_ms(context.route, prompt_tokens=tokens) <= ms
 
 
 def patience(context):
     if "patience" not in context:
-        context.patience = Patience()
+        context.patience = AttemptTimeouts()
     return context.patience
 
 
 @when("the pool has become as slow as {ms:d} ms to the first event")
 def become_slow(context, ms):
     for _ in range(60):
-        patience(context).record_first_event(context.route, after_ms=ms)
+        patience(context).record_first_event(context.route, latency_ms=ms)
 
 
 @given("a pool of the runners {names}")
@@ -557,28 +559,30 @@
     context.names = names.split(", ")
     context.runner_table = RunnerTable()
     runners = [make_runner(name) for name in context.names]
-    context.runner_table.replace_listed(live=runners, leaving=[], now_ms=0.0)
+    context.runner_table.apply_host_list(live=runners, leaving=[], now_ms=0.0)
     context.rings = PoolRings(table=context.runner_table, region="region")
     context.rings.rebuild()
-    context.watch = RunnerWatch(table=context.runner_table)
+    context.watch = RunnerHealth(table=context.runner_table)
 
 
 @when("each of them fails to take a connection at {now:d} ms")
 def all_fail(context, now):
     for name in context.names:
         context.watch.record_failure(
-            make_runner(name), end=AttemptEnd.NOT_SENT, now_ms=now
+            make_runner(name), outcome=AttemptOutcome.NOT_SENT, now_ms=now
         )
 
 
 @when('"{name}" fails to take a connection at {now:d} ms')
 def one_fails(context, name, now):
-    context.watch.record_failure(make_runner(name), end=AttemptEnd.NOT_SENT, now_ms=now)
+    context.watch.record_failure(
+        make_runner(name), outcome=AttemptOutcome.NOT_SENT, now_ms=now
+    )
 
 
 @when("quarantines are looked at {now:d} ms")
 def end_quarantines(context, now):
-    context.runner_table.end_due_quarantines(now_ms=now)
+    context.runner_table.end_expired_quarantines(now_ms=now)
 
 
 @when('"{name}" answers calls at {now:d} ms as "{ends}"')
@@ -588,7 +592,7 @@
             context.watch.record_success(make_runner(name), now_ms=now)
         else:
             context.watch.record_failure(
-                make_runner(name), end=AttemptEnd(end), now_ms=now
+                make_runner(name), outcome=AttemptOutcome(end), now_ms=now
             )
 
 
@@ -606,7 +610,7 @@
 def first_leaves(context):
     context.first = next(context.rings.order(POOL, KEY))
     live = [make_runner(name) for name in context.names if name != context.first]
-    context.runner_table.replace_listed(
+    context.runner_table.apply_host_list(
         live=live, leaving=[make_runner(context.first)], now_ms=1.0
     )
     context.rings.rebuild()
@@ -615,4 +619,4 @@
 @then("it is no longer found for calls but still the key's likeliest holder")
 def check_holder(context):
     assert context.first not in set(context.rings.order(POOL, KEY))
-    assert next(context.rings.holders(POOL, KEY)) == context.first
+    assert next(context.rings.cache_candidates(POOL, KEY)) == context.first
--- a/packages/clementineyoke-core/tests/steps/entry_choice_steps.py
+++ b/packages/clementineyoke-core/tests/steps/entry_choice_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from clementineyoke_core.edge.call_rate import CallRate
-from clementineyoke_core.edge.entry_choice import choose_entries
-from clementineyoke_core.edge.node_capacity import calls_borne_per_s
+from clementineyoke_core.edge.entry_nodes import choose_entry_nodes
+from clementineyoke_core.edge.node_capacity import capacity_calls_per_s
 from clementineyoke_core.node import Node
 
 SEED = 195
@@ -18,7 +18,7 @@
 
 
 def name_nodes(context):
-    return choose_entries(context.nodes, calls_per_s=context.calls_per_s)
+    return choose_entry_nodes(context.nodes, calls_per_s=context.calls_per_s)
 
 
 @given(
@@ -72,7 +72,7 @@
 
 @then("a host with {cores:g} cores and {mbps:g} Mbit bears {calls:d} calls a second")
 def check_borne(context, cores, mbps, calls):
-    assert calls_borne_per_s(cpu_cores=cores, link_mbps=mbps) == calls
+    assert capacity_calls_per_s(cpu_cores=cores, link_mbps=mbps) == calls
 
 
 @when("a node has {rate:d} calls a second for {seconds:d} s")
--- a/packages/clementineyoke-core/tests/steps/evacuations_steps.py
+++ b/packages/clementineyoke-core/tests/steps/evacuations_steps.py
@@ -31,7 +31,7 @@
 @when('the orders as of revision {revision:d} with "" are told')
 def tell(context, revision, zones=""):
     view = EvacuationView(revision, make_zones(zones, revision))
-    context.change = context.orders.take(view)
+    context.change = context.orders.replace(view)
 
 
 @when('a watch shows "{zones}" emptied up to revision {revision:d}')
--- a/packages/clementineyoke-core/tests/steps/fault_share_steps.py
+++ b/packages/clementineyoke-core/tests/steps/fault_share_steps.py
@@ -2,14 +2,14 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.fault_share import FIRST_PAUSE_MS, FaultShare
+from clementineyoke_core.fault_rate_breaker import MIN_PAUSE_MS, FaultRateBreaker
 
 RUNNER = "runner"
 
 
 @given("a home that grants {rate:d} calls a second on a runner")
 def given_home(context, rate):
-    context.faults = FaultShare()
+    context.faults = FaultRateBreaker()
     context.step_ms = 1000.0 / rate
     context.pauses = []
 
@@ -66,4 +66,4 @@
     context.faulty = 10
     context.pauses.clear()
     play(context, since_ms=start, until_ms=start + 700.0, fails_from_ms=start)
-    assert pause_length_ms(context.faults, context.pauses[0]) <= FIRST_PAUSE_MS
+    assert pause_length_ms(context.faults, context.pauses[0]) <= MIN_PAUSE_MS
--- a/packages/clementineyoke-core/tests/steps/hash_ring_steps.py
+++ b/packages/clementineyoke-core/tests/steps/hash_ring_steps.py
@@ -14,14 +14,14 @@
 def make_ring(context, count):
     context.members = [f"engine-{index}" for index in range(count)]
     context.ring = HashRing()
-    context.ring.replace(context.members)
+    context.ring.set_members(context.members)
 
 
 @when("one member leaves")
 def leave(context):
     context.before = [context.ring.first(key) for key in KEYS]
     context.gone = context.members.pop(3)
-    context.ring.replace(context.members)
+    context.ring.set_members(context.members)
 
 
 @then("only keys that it owned have a new owner")
@@ -56,13 +56,13 @@
         for _ in range(rng.randrange(3)):
             context.members.remove(rng.choice(context.members))
         context.members += [f"new-{number}-{n}" for n in range(rng.randrange(3))]
-        context.ring.replace(context.members)
+        context.ring.set_members(context.members)
 
 
 @then("the order of each key is that of a ring made anew")
 def check_anew(context):
     anew = HashRing()
-    anew.replace(reversed(context.members))
+    anew.set_members(reversed(context.members))
     assert anew.members == context.ring.members
     for key in KEYS[:300]:
         assert list(context.ring.order(key)) == list(anew.order(key))
--- a/packages/clementineyoke-core/tests/steps/limits_steps.py
+++ b/packages/clementineyoke-core/tests/steps/limits_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from clementineyoke_core.team_budget import TeamBudget
-from clementineyoke_core.team_purse import TeamPurse
+from clementineyoke_core.team_budget_share import TeamBudgetShare
 
 
 @given("a team's budget of {rate:d} requests a second with a burst of {burst:d}")
@@ -13,7 +13,7 @@
 
 @when("{count:d} nodes each offer {rate:d} requests a second for {seconds:d} seconds")
 def offer(context, count, rate, seconds):
-    purses = [TeamPurse() for _ in range(count)]
+    purses = [TeamBudgetShare() for _ in range(count)]
     context.allowed = 0
     for number in range(rate * seconds):
         now_ms = 1 + number * 1000 / rate
@@ -22,12 +22,12 @@
 
 
 def spend(purse, budget, now_ms):
-    if purse.spend_one(now_ms=now_ms):
+    if purse.try_spend(now_ms=now_ms):
         return True
-    wanted = purse.tokens_to_ask(now_ms=now_ms)
+    wanted = purse.tokens_to_request(now_ms=now_ms)
     grant = budget.grant(wanted, now_ms=now_ms)
-    purse.receive(grant.tokens, now_ms=now_ms)
-    return purse.spend_one(now_ms=now_ms)
+    purse.add_tokens(grant.tokens, now_ms=now_ms)
+    return purse.try_spend(now_ms=now_ms)
 
 
 @then("the nodes let through {count:d} requests, give or take {percent:d} percent")
@@ -38,25 +38,25 @@
 
 @given("a purse with {tokens:d} tokens")
 def given_purse(context, tokens):
-    context.purse = TeamPurse()
-    context.purse.receive(tokens, now_ms=0)
-    assert context.purse.spend_one(now_ms=1)
+    context.purse = TeamBudgetShare()
+    context.purse.add_tokens(tokens, now_ms=0)
+    assert context.purse.try_spend(now_ms=1)
 
 
 @when("{count:d} nodes each send 2 requests a second for {seconds:d} seconds")
 def send_few(context, count, seconds):
-    purses = [TeamPurse() for _ in range(count)]
+    purses = [TeamBudgetShare() for _ in range(count)]
     context.asks = context.sent = 0
     for number in range(2 * seconds):
         now_ms = 1 + number * 500
         for purse in purses:
             context.sent += 1
-            if not purse.spend_one(now_ms=now_ms):
+            if not purse.try_spend(now_ms=now_ms):
                 context.asks += 1
-                wanted = purse.tokens_to_ask(now_ms=now_ms)
+                wanted = purse.tokens_to_request(now_ms=now_ms)
                 grant = context.budget.grant(wanted, now_ms=now_ms)
-                purse.receive(grant.tokens, now_ms=now_ms)
-                assert purse.spend_one(now_ms=now_ms)
+                purse.add_tokens(grant.tokens, now_ms=now_ms)
+                assert purse.try_spend(now_ms=now_ms)
 
 
 @then("the home was asked for less than a third of them")
@@ -71,7 +71,7 @@
 
 @then("the purse has nothing to spend")
 def check_purse(context):
-    assert not context.purse.spend_one(now_ms=context.now_ms)
+    assert not context.purse.try_spend(now_ms=context.now_ms)
 
 
 @when("the clock steps back by {step_ms:d} ms after the burst is spent")
--- a/packages/clementineyoke-core/tests/steps/mean_load_steps.py
+++ b/packages/clementineyoke-core/tests/steps/mean_load_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.mean_load import MeanLoad
+from clementineyoke_core.mean_load import MeanLoadEstimator
 
 POOL = "model"
 
@@ -13,7 +13,7 @@
 def make_nodes(context, count, most):
     context.rng = Random(3)
     context.loads = [context.rng.randint(0, most) for _ in range(count)]
-    context.means = [MeanLoad() for _ in range(count)]
+    context.means = [MeanLoadEstimator() for _ in range(count)]
     for mean, load in zip(context.means, context.loads, strict=True):
         mean.set_local(POOL, load=load, runners=1)
 
--- a/packages/clementineyoke-core/tests/steps/membership_steps.py
+++ b/packages/clementineyoke-core/tests/steps/membership_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from clementineyoke_core.membership import Membership
+from clementineyoke_core.membership_update import MembershipUpdate, NodeState
 from clementineyoke_core.node import Node
-from clementineyoke_core.rumour import NodeState, Rumour
 
 
 def make_node(number):
@@ -15,8 +15,8 @@
 
 
 def make_view(nodes, own, incarnation=100):
-    view = Membership(own=own, incarnation=incarnation, rng=Random(1))
-    view.replace_listed(live=nodes, leaving=[])
+    view = Membership(local_node=own, incarnation=incarnation, rng=Random(1))
+    view.apply_host_list(live=nodes, leaving=[])
     return view
 
 
@@ -25,47 +25,47 @@
     context.nodes = [make_node(number) for number in range(count)]
     context.view = make_view(context.nodes, context.nodes[0])
     for node in context.nodes[1:]:
-        context.view.record_heard(node.node_id, incarnation=100)
+        context.view.record_message(node.node_id, incarnation=100)
 
 
 @when("{node_id} misses {count:d} probes")
 def miss(context, node_id, count):
     for _ in range(count):
-        context.view.record_missed(node_id)
+        context.view.record_missed_probe(node_id)
 
 
 @when("{node_id} hears that it is rumoured down and answers")
 def refute(context, node_id):
     subject = make_view(context.nodes, context.nodes[3])
-    rumours = context.view.rumours_to_send(receiver=node_id)
+    rumours = context.view.updates_to_send(receiver=node_id)
     for rumour in rumours:
-        subject.hear(rumour)
+        subject.apply_update(rumour)
     assert subject.incarnation > 100, "the rumour was not refuted"
-    context.view.record_heard(node_id, incarnation=subject.incarnation)
+    context.view.record_message(node_id, incarnation=subject.incarnation)
 
 
 @when("{node_id} says that it is leaving")
 def say_leaving(context, node_id):
-    context.view.hear(Rumour(node_id, 101, NodeState.LEAVING))
+    context.view.apply_update(MembershipUpdate(node_id, 101, NodeState.LEAVING))
 
 
 @when("{node_id} is heard from again at its old incarnation")
 def heard_old(context, node_id):
-    context.view.record_heard(node_id, incarnation=101)
+    context.view.record_message(node_id, incarnation=101)
 
 
 @when("{node_id} is heard from with a higher incarnation")
 def heard_new(context, node_id):
-    context.view.record_heard(node_id, incarnation=200)
+    context.view.record_message(node_id, incarnation=200)
 
 
 @when("the list shows {node_id} leaving and then live again")
 def list_flaps(context, node_id):
     leaving = [node for node in context.nodes if node.node_id == node_id]
     live = [node for node in context.nodes if node.node_id != node_id]
-    context.view.replace_listed(live=live, leaving=leaving)
+    context.view.apply_host_list(live=live, leaving=leaving)
     assert context.view.state(node_id) is NodeState.LEAVING
-    context.view.replace_listed(live=context.nodes, leaving=[])
+    context.view.apply_host_list(live=context.nodes, leaving=[])
 
 
 @when("{node_id} is suspected")
@@ -87,8 +87,8 @@
 
 @then("the rumour of {node_id} is told to others")
 def check_told(context, node_id):
-    rumours = context.view.rumours_to_send(receiver="node-5")
-    assert Rumour(node_id, 100, NodeState.DOWN) in rumours
+    rumours = context.view.updates_to_send(receiver="node-5")
+    assert MembershipUpdate(node_id, 100, NodeState.DOWN) in rumours
 
 
 @then("{count:d} turns of probing reach every node, {node_id} included")
@@ -106,10 +106,10 @@
 def check_told(context, count):
     peers = context.view.sample(256)
     assert len(set(peers)) == count
-    own_id = context.view.own.node_id
+    own_id = context.view.local_node.node_id
     for peer in peers:
-        rumours = context.view.rumours_to_send(receiver=peer.node_id)
-        assert Rumour(own_id, 101, NodeState.LEAVING) in rumours, peer
+        rumours = context.view.updates_to_send(receiver=peer.node_id)
+        assert MembershipUpdate(own_id, 101, NodeState.LEAVING) in rumours, peer
 
 
 ROUNDS_A_SECOND = 4
@@ -132,31 +132,33 @@
                 continue
             peer = view.next_probe()
             if peer.node_id in self.killed:
-                view.record_missed(peer.node_id)
+                view.record_missed_probe(peer.node_id)
                 continue
             self.tell(view, self.views[peer.node_id])
             self.tell(self.views[peer.node_id], view)
 
     def tell(self, sender, receiver):
-        receiver.record_heard(sender.own.node_id, incarnation=sender.incarnation)
-        for rumour in sender.rumours_to_send(receiver=receiver.own.node_id):
-            receiver.hear(rumour)
+        receiver.record_message(
+            sender.local_node.node_id, incarnation=sender.incarnation
+        )
+        for rumour in sender.updates_to_send(receiver=receiver.local_node.node_id):
+            receiver.apply_update(rumour)
 
     def naming_killed(self):
         return [
             node_id
             for node_id, view in self.views.items()
             if node_id not in self.killed
-            and self.killed & {node.node_id for node in view.heard()}
+            and self.killed & {node.node_id for node in view.confirmed_alive()}
         ]
 
 
 def make_seeded_view(nodes, own, seed):
-    view = Membership(own=own, incarnation=100, rng=Random(seed))
-    view.replace_listed(live=nodes, leaving=[])
+    view = Membership(local_node=own, incarnation=100, rng=Random(seed))
+    view.apply_host_list(live=nodes, leaving=[])
     for node in nodes:
         if node != own:
-            view.record_heard(node.node_id, incarnation=100)
+            view.record_message(node.node_id, incarnation=100)
     return view
 
 
--- a/packages/clementineyoke-core/tests/steps/placement_token_steps.py
+++ b/packages/clementineyoke-core/tests/steps/placement_token_steps.py
@@ -2,15 +2,15 @@
 
 from behave import given, then
 
-from clementineyoke_core.placement_token import ChatPlace, PlacementToken
+from clementineyoke_core.placement_token import ChatScope, PlacementTokenCodec
 from clementineyoke_core.token_signer import TokenSigner
 
-PLACE = ChatPlace("/league/finals", "model", 42)
+PLACE = ChatScope("/league/finals", "model", 42)
 
 
 @given("a token that names {runner_id} for a chat")
 def given_token(context, runner_id):
-    context.tokens = PlacementToken(signer=TokenSigner(keys=["key"]))
+    context.tokens = PlacementTokenCodec(signer=TokenSigner(keys=["key"]))
     context.token = context.tokens.issue(PLACE, runner_id)
 
 
@@ -42,5 +42,5 @@
 
 @then("after the signing key was rotated it still names {runner_id}")
 def check_rotated(context, runner_id):
-    rotated = PlacementToken(signer=TokenSigner(keys=["new", "key"]))
+    rotated = PlacementTokenCodec(signer=TokenSigner(keys=["new", "key"]))
     assert rotated.read(PLACE, context.token) == runner_id
--- a/packages/clementineyoke-core/tests/steps/prompt_holders_steps.py
+++ b/packages/clementineyoke-core/tests/steps/prompt_holders_steps.py
@@ -28,7 +28,7 @@
         self.rng = Random(7)
         self.names = [f"runner-{number}" for number in range(RUNNERS)]
         self.ring = HashRing()
-        self.ring.replace(self.names)
+        self.ring.set_members(self.names)
         self.held = {}
         """Which runners hold a prompt."""
         self.memories = [PromptHolders() for _ in range(NODES)]
@@ -49,11 +49,11 @@
         gone = self.names.pop(self.rng.randrange(len(self.names)))
         for holders in self.held.values():
             holders.discard(gone)
-        self.ring.replace(self.names)
+        self.ring.set_members(self.names)
 
     def join_runner(self, number):
         self.names.append(f"joined-{number}")
-        self.ring.replace(self.names)
+        self.ring.set_members(self.names)
 
     def call(self, now_ms):
         key = hash_text(f"prompt-{self.rng.randrange(PROMPTS)}")
@@ -69,7 +69,7 @@
         memory.record_answer(key, make_runner(chosen), now_ms=now_ms)
 
     def _source(self, memory, key, order, chosen, now_ms):
-        last = memory.last(key, now_ms=now_ms) if self.remembers else None
+        last = memory.last_holder(key, now_ms=now_ms) if self.remembers else None
         if last is not None and last.runner_id in set(order) - {chosen}:
             return last.runner_id
         return order[1] if chosen == order[0] else order[0]
@@ -128,8 +128,8 @@
 
 @then("after {known:d} s the runner is named, and after {gone:d} s nobody")
 def check_age(context, known, gone):
-    assert context.memory.last(1, now_ms=1_000 * known).runner_id == "runner-1"
-    assert context.memory.last(1, now_ms=1_000 * gone) is None
+    assert context.memory.last_holder(1, now_ms=1_000 * known).runner_id == "runner-1"
+    assert context.memory.last_holder(1, now_ms=1_000 * gone) is None
 
 
 @given("a node that saw answers for {count:d} prompts")
@@ -143,6 +143,8 @@
 @then("it remembers the last one, and {most:d} at most")
 def check_bound(context, most):
     assert most == MOST_PROMPTS
-    known = [key for key in range(context.count) if context.memory.last(key, now_ms=0)]
+    known = [
+        key for key in range(context.count) if context.memory.last_holder(key, now_ms=0)
+    ]
     assert known[-1] == context.count - 1
     assert len(known) <= most
--- a/packages/clementineyoke-core/tests/steps/reachability_steps.py
+++ b/packages/clementineyoke-core/tests/steps/reachability_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.reachability import Reachability
+from clementineyoke_core.reachability_breaker import ReachabilityBreaker
 
 RUNNER = "runner"
 
@@ -11,7 +11,7 @@
 def given_nodes(context, nodes, rate):
     context.count = nodes
     context.step_ms = 1000.0 / rate
-    context.reachability = Reachability()
+    context.reachability = ReachabilityBreaker()
     context.met, context.answered, context.pauses = [], [], []
 
 
--- a/packages/clementineyoke-core/tests/steps/retry_budget_steps.py
+++ b/packages/clementineyoke-core/tests/steps/retry_budget_steps.py
@@ -7,24 +7,24 @@
 
 @given("a retry budget of a tenth with {saved:d} saved")
 def given_budget(context, saved):
-    context.budget = RetryBudget(share=0.1, most_saved=saved)
+    context.budget = RetryBudget(ratio=0.1, max_balance=saved)
 
 
 @when("{count:d} requests fail and each wants {retries:d} retries")
 def fail_all(context, count, retries):
     context.allowed = 0
     for _ in range(count):
-        context.budget.earn()
-        context.allowed += sum(context.budget.spend() for _ in range(retries))
+        context.budget.deposit()
+        context.allowed += sum(context.budget.try_spend() for _ in range(retries))
 
 
 @when("1 request in {every:d} of {count:d} fails and wants 1 retry")
 def fail_some(context, every, count):
     context.allowed = []
     for number in range(count):
-        context.budget.earn()
+        context.budget.deposit()
         if number % every == 0:
-            context.allowed.append(context.budget.spend())
+            context.allowed.append(context.budget.try_spend())
 
 
 @then("about {count:d} retries were allowed")
--- a/packages/clementineyoke-core/tests/steps/runner_homes_steps.py
+++ b/packages/clementineyoke-core/tests/steps/runner_homes_steps.py
@@ -15,7 +15,7 @@
         "services": [f"service-{n}" for n in range(second)],
     }
     context.homes = RunnerHomes()
-    context.homes.replace(nodes=context.nodes, pools=context.pools)
+    context.homes.reassign(nodes=context.nodes, pools=context.pools)
 
 
 def homes_by_runner(context):
@@ -27,7 +27,7 @@
 def leave(context):
     context.before = homes_by_runner(context)
     nodes = context.nodes[1:]
-    assert context.homes.replace(nodes=nodes, pools=context.pools)
+    assert context.homes.reassign(nodes=nodes, pools=context.pools)
 
 
 @then("no node is home of {count:d} runners of a pool")
@@ -43,7 +43,7 @@
     assert None not in before.values()
     pools = {name: list(reversed(ids)) for name, ids in context.pools.items()}
     context.homes = RunnerHomes()
-    context.homes.replace(nodes=list(reversed(context.nodes)), pools=pools)
+    context.homes.reassign(nodes=list(reversed(context.nodes)), pools=pools)
     assert homes_by_runner(context) == before
 
 
--- a/packages/clementineyoke-core/tests/steps/runner_table_steps.py
+++ b/packages/clementineyoke-core/tests/steps/runner_table_steps.py
@@ -11,7 +11,7 @@
 @given("a listed runner")
 def given_runner(context):
     context.runners = RunnerTable()
-    context.runners.replace_listed(live=[RUNNER], leaving=[], now_ms=0)
+    context.runners.apply_host_list(live=[RUNNER], leaving=[], now_ms=0)
     assert context.runners.is_ready("engine-1")
 
 
@@ -33,12 +33,12 @@
 
 @when("the list shows the runner live again")
 def list_again(context):
-    context.runners.replace_listed(live=[RUNNER], leaving=[], now_ms=0)
+    context.runners.apply_host_list(live=[RUNNER], leaving=[], now_ms=0)
 
 
 @when("the list shows the runner live after {now_ms:d} ms")
 def list_later(context, now_ms):
-    context.runners.replace_listed(live=[RUNNER], leaving=[], now_ms=now_ms)
+    context.runners.apply_host_list(live=[RUNNER], leaving=[], now_ms=now_ms)
 
 
 @then("the runner is ready again")
--- a/packages/clementineyoke-core/tests/steps/settings_steps.py
+++ b/packages/clementineyoke-core/tests/steps/settings_steps.py
@@ -15,7 +15,7 @@
 )
 from clementineyoke_core.settings.log import ApplyOutcome, SettingsLog
 from clementineyoke_core.settings.tree import SettingsTree
-from clementineyoke_core.settings.validation import find_faults
+from clementineyoke_core.settings.validation import find_violations
 
 TEAM = "/league/finals"
 
@@ -85,7 +85,7 @@
 
 @when("a document with 5 faults is checked")
 def check_document(context):
-    context.faults = find_faults(
+    context.faults = find_violations(
         {
             "/": {"rate_per_s": -1, "no_such_field": 1},
             "league": {},
@@ -121,7 +121,7 @@
     @hypothesis_settings(max_examples=300, derandomize=True, deadline=None)
     @for_any(values)
     def check(document):
-        faults = find_faults(document)
+        faults = find_violations(document)
         if not faults:
             SettingsTree().apply(document)
 
--- a/packages/clementineyoke-core/tests/steps/slot_ledger_steps.py
+++ b/packages/clementineyoke-core/tests/steps/slot_ledger_steps.py
@@ -2,13 +2,13 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.slot_ledger import SlotHold, SlotLedger
+from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 
 RUNNER = "engine-1"
 
 
 def hold(number):
-    return SlotHold("node-1", number)
+    return SlotHolder("node-1", number)
 
 
 @given("a ledger with leases of {lease_ms:d} ms")
@@ -20,13 +20,13 @@
 @when("node-1 asks twice for the same request under a bound of {bound:d}")
 def ask_twice(context, bound):
     for _ in range(2):
-        context.ledger.ask(RUNNER, hold(1), bound=bound, now_ms=0).unwrap()
+        context.ledger.acquire(RUNNER, hold(1), bound=bound, now_ms=0).unwrap()
 
 
 @when("{count:d} requests hold slots under a bound of {bound:d}")
 def ask_many(context, count, bound):
     for number in range(count):
-        context.ledger.ask(RUNNER, hold(number), bound=bound, now_ms=0).unwrap()
+        context.ledger.acquire(RUNNER, hold(number), bound=bound, now_ms=0).unwrap()
 
 
 @when("one of them renews after {now_ms:d} ms and the other never")
@@ -43,7 +43,7 @@
 
 @then("a third is refused with a load of {load:d}")
 def check_refused(context, load):
-    refusal = context.ledger.ask(RUNNER, hold(99), bound=2, now_ms=1).failure()
+    refusal = context.ledger.acquire(RUNNER, hold(99), bound=2, now_ms=1).failure()
     assert refusal.in_use == load
 
 
--- a/packages/clementineyoke-core/tests/steps/slot_queue_steps.py
+++ b/packages/clementineyoke-core/tests/steps/slot_queue_steps.py
@@ -2,16 +2,16 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.slot_ledger import SlotHold
-from clementineyoke_core.slot_queue import SlotQueue, WaitingAsk
+from clementineyoke_core.slot_ledger import SlotHolder
+from clementineyoke_core.slot_queue import QueuedRequest, SlotQueue
 
 
 def add(context, team, count, priority):
     for _ in range(count):
         context.number += 1
-        hold = SlotHold("node", context.number)
+        hold = SlotHolder("node", context.number)
         # The first gives up first: at 1000 ms plus its number.
-        ask = WaitingAsk(hold, team, priority, 1000.0 + context.number)
+        ask = QueuedRequest(hold, team, priority, 1000.0 + context.number)
         context.turned_away = context.queue.add(ask)
 
 
@@ -54,7 +54,7 @@
 
 @when("the first has given up and the second is taken out")
 def give_up(context):
-    assert context.queue.remove(SlotHold("node", 2))
+    assert context.queue.remove(SlotHolder("node", 2))
     context.now_ms = 1001.5
 
 
@@ -72,10 +72,10 @@
 
 @then("team 1's last request is turned away")
 def check_turned_away(context):
-    assert context.turned_away.hold == SlotHold("node", 4)
+    assert context.turned_away.holder == SlotHolder("node", 4)
 
 
 @then("the third is served and then nobody")
 def check_third(context):
-    assert context.queue.pop_next(now_ms=context.now_ms).hold.ask_id == 3
+    assert context.queue.pop_next(now_ms=context.now_ms).holder.ask_id == 3
     assert context.queue.pop_next(now_ms=context.now_ms) is None
--- a/packages/clementineyoke-core/tests/steps/slot_search_steps.py
+++ b/packages/clementineyoke-core/tests/steps/slot_search_steps.py
@@ -30,7 +30,7 @@
         attempt = context.search.next_attempt()
         context.asked.append(attempt.runner_id)
         if context.loads is None:
-            context.search.record_silence(attempt)
+            context.search.record_timeout(attempt)
         else:
             context.search.record_refusal(
                 attempt,
--- a/packages/clementineyoke-core/tests/steps/steering_steps.py
+++ b/packages/clementineyoke-core/tests/steps/steering_steps.py
@@ -10,12 +10,12 @@
 
 def answer(context, rate=1.0, chat_home=None, turn=0):
     steering = Steering()
-    return steering.answer(
+    return steering.choose_nodes(
         team=TEAM,
         team_rate_per_s=rate,
         alive=context.nodes,
         chat_home=chat_home,
-        turn=turn,
+        rotation=turn,
     ).nodes
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -10,7 +10,7 @@
 
 from clementineyoke_node.callers.authenticator import fits_any
 from clementineyoke_node.metrics_page import answer_with_metrics
-from clementineyoke_node.settings.peer_changes import (
+from clementineyoke_node.settings.peer_settings import (
     CHANGES_PATH,
     SNAPSHOT_PATH,
     encode_changes,
@@ -24,7 +24,7 @@
 
     from clementineyoke_node.callers.decision_ring import DecisionRing
     from clementineyoke_node.metrics import Metrics
-    from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+    from clementineyoke_node.settings.settings_replica import SettingsReplica
     from clementineyoke_node.settings.settings_writer import SettingsWriter
     from clementineyoke_node.timers.timer_service import TimerService
     from clementineyoke_wire.seal import Seal
@@ -43,7 +43,7 @@
         *,
         key_hashes: list[str],
         seal: Seal,
-        keeper: SettingsKeeper,
+        keeper: SettingsReplica,
         writer: SettingsWriter,
         decisions: DecisionRing,
         metrics: Metrics,
--- a/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
@@ -6,8 +6,8 @@
 
 from aiohttp import web
 
-from clementineyoke_core.placement_token import PlacementToken
-from clementineyoke_core.resume_token import ResumeToken
+from clementineyoke_core.placement_token import PlacementTokenCodec
+from clementineyoke_core.resume_token import ResumeTokenCodec
 from clementineyoke_core.steering import Steering
 from clementineyoke_core.token_signer import TokenSigner
 from clementineyoke_node.callers.address_handler import AddressHandler
@@ -37,7 +37,7 @@
         limiter = TeamLimiter(
             membership=state.membership,
             homes=state.fleet_homes,
-            keeper=io.keeper,
+            settings=io.keeper,
             socket=io.socket,
             timers=io.timers,
             timeout_ms=config.share_timeout_ms,
@@ -58,8 +58,8 @@
             decisions=state.decisions,
         )
         signer = TokenSigner(keys=config.peer_keys)
-        placements = PlacementToken(signer=signer)
-        resumes = ResumeToken(signer=signer)
+        placements = PlacementTokenCodec(signer=signer)
+        resumes = ResumeTokenCodec(signer=signer)
         self._chats = ChatHandler(
             authenticator=authenticator,
             dispatcher=dispatcher,
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
@@ -8,18 +8,18 @@
 
 from clementineyoke_core.chat_key import chat_key
 from clementineyoke_core.hashing import hash_text
-from clementineyoke_core.placement_token import ChatPlace
+from clementineyoke_core.placement_token import ChatScope
 from clementineyoke_wire import headers
 from clementineyoke_wire.bodies import AddressBody, AddressesBody
 
 if TYPE_CHECKING:
     from clementineyoke_core.membership import Membership
-    from clementineyoke_core.placement_token import PlacementToken
+    from clementineyoke_core.placement_token import PlacementTokenCodec
     from clementineyoke_core.pool_rings import PoolRings
     from clementineyoke_core.runner_homes import RunnerHomes
     from clementineyoke_core.steering import Steering
     from clementineyoke_node.callers.caller_request import CallerRequest
-    from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+    from clementineyoke_node.settings.settings_replica import SettingsReplica
 
 
 class AddressHandler:
@@ -32,8 +32,8 @@
         homes: RunnerHomes,
         rings: PoolRings,
         steering: Steering,
-        keeper: SettingsKeeper,
-        tokens: PlacementToken,
+        keeper: SettingsReplica,
+        tokens: PlacementTokenCodec,
     ) -> None:
         self._membership = membership
         self._homes = homes
@@ -47,13 +47,13 @@
     ) -> web.StreamResponse:
         """Return the ordered list; ``?model=`` with the chat's headers refines it."""
         team = caller.team_path
-        region = self._membership.own.region
-        answer = self._steering.answer(
+        region = self._membership.local_node.region
+        answer = self._steering.choose_nodes(
             team=team,
             team_rate_per_s=self._keeper.log.tree.value(team, "rate_per_s"),
             alive=self._membership.alive(region=region),
             chat_home=self._find_chat_home(request, team),
-            turn=hash_text(caller.request_id),
+            rotation=hash_text(caller.request_id),
         )
         body = AddressesBody(
             addresses=[
@@ -76,7 +76,7 @@
             return None
         key = chat_key(team=team, model=model, chat_id=chat_id, prompt="")
         token = request.headers.get(headers.PLACEMENT, "")
-        runner_id = self._tokens.read(ChatPlace(team, model, key), token)
+        runner_id = self._tokens.read(ChatScope(team, model, key), token)
         if not self._rings.has_ready(model, runner_id):
             runner_id = next(self._rings.order(model, key), None)
         return None if runner_id is None else self._homes.home_of(runner_id)
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/authenticator.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/authenticator.py
@@ -16,7 +16,7 @@
     from aiohttp import web
 
     from clementineyoke_core.settings.tree import SettingsTree
-    from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+    from clementineyoke_node.settings.settings_replica import SettingsReplica
 
 STEP = "authenticate"
 _KEY = re.compile(
@@ -40,7 +40,7 @@
 class Authenticator:
     """Turn headers into a caller's request; keys look like ``group/team/secret``."""
 
-    def __init__(self, *, keeper: SettingsKeeper) -> None:
+    def __init__(self, *, keeper: SettingsReplica) -> None:
         self._keeper = keeper
 
     def identify(
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
@@ -8,9 +8,9 @@
 
 from clementineyoke_core.chat_key import chat_key
 from clementineyoke_core.outcome import Outcome
-from clementineyoke_core.placement_token import ChatPlace
+from clementineyoke_core.placement_token import ChatScope
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_core.resume_token import StreamPlace
+from clementineyoke_core.resume_token import StreamLocation
 from clementineyoke_node.callers.answer_relay import relay_answer
 from clementineyoke_node.callers.body_reader import read_body
 from clementineyoke_node.callers.dispatcher import RoutedCall
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-    from clementineyoke_core.placement_token import PlacementToken
-    from clementineyoke_core.resume_token import ResumeToken
+    from clementineyoke_core.placement_token import PlacementTokenCodec
+    from clementineyoke_core.resume_token import ResumeTokenCodec
     from clementineyoke_node.callers.authenticator import Authenticator
     from clementineyoke_node.callers.caller_request import CallerRequest
     from clementineyoke_node.callers.dispatcher import Dispatcher
@@ -53,8 +53,8 @@
         *,
         authenticator: Authenticator,
         dispatcher: Dispatcher,
-        placements: PlacementToken,
-        resumes: ResumeToken,
+        placements: PlacementTokenCodec,
+        resumes: ResumeTokenCodec,
     ) -> None:
         self._authenticator = authenticator
         self._dispatcher = dispatcher
@@ -96,11 +96,11 @@
             )
 
     def _make_tokens(
-        self, call: RoutedCall, place: ChatPlace, runner_id: str
+        self, call: RoutedCall, place: ChatScope, runner_id: str
     ) -> dict[str, str]:
         made = {headers.PLACEMENT: self._placements.issue(place, runner_id)}
         if headers.RESUMABLE in call.headers:
-            stream = StreamPlace(runner_id, call.caller.request_id)
+            stream = StreamLocation(runner_id, call.caller.request_id)
             made[headers.RESUME] = self._resumes.issue(call.caller.team_path, stream)
         return made
 
@@ -115,14 +115,14 @@
     return sent
 
 
-def _place_of(caller: CallerRequest, chat: ChatBody, chat_id: str) -> ChatPlace:
+def _place_of(caller: CallerRequest, chat: ChatBody, chat_id: str) -> ChatScope:
     key = chat_key(
         team=caller.team_path,
         model=chat.model,
         chat_id=chat_id,
         prompt=_prompt_text(chat),
     )
-    return ChatPlace(caller.team_path, chat.model, key)
+    return ChatScope(caller.team_path, chat.model, key)
 
 
 def _parse(body: bytes) -> ChatBody:
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
@@ -12,7 +12,7 @@
 from clementineyoke_node.callers.answer_relay import has_length
 from clementineyoke_node.runners.runner_client import RunnerCall
 from clementineyoke_node.runners.runner_error import RunnerError
-from clementineyoke_node.slots.slot_wish import SlotWish
+from clementineyoke_node.slots.slot_request import SlotRequest
 from clementineyoke_wire import headers
 from clementineyoke_wire.events import Event
 
@@ -79,7 +79,7 @@
         Raises ``RequestError``. A call that may have begun is sent again only if it is
         idempotent.
         """
-        self._retries.earn()
+        self._retries.deposit()
         tried: list[str] = []
         unsure: RunnerError | None = None
         while True:
@@ -112,7 +112,7 @@
 
     async def _acquire(self, call: RoutedCall, tried: list[str]) -> SlotLease:
         left_ms = call.caller.deadline_ms - self._timers.now_ms()
-        wish = SlotWish(
+        wish = SlotRequest(
             pool=call.pool,
             key=call.key,
             team=hash_text(call.caller.team_path),
@@ -209,7 +209,7 @@
         may_repeat = call.is_idempotent or not error.may_have_run
         out_of_time = call.caller.deadline_ms <= self._timers.now_ms()
         wants_retry = may_repeat and attempts < MOST_ATTEMPTS and not out_of_time
-        if wants_retry and self._retries.spend():
+        if wants_retry and self._retries.try_spend():
             return
         outcome = Outcome.NOT_RUN if unsure is None else Outcome.UNKNOWN
         raise RequestError(
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
@@ -106,14 +106,14 @@
         caller = self._authenticator.identify(
             request, request_id=request_id, now_ms=self._timers.now_ms()
         )
-        limit = await self._limiter.spend(caller.team_path)
+        limit = await self._limiter.acquire(caller.team_path)
         if not limit.is_allowed:
             raise RequestError(
                 status=429,
                 outcome=Outcome.NOT_RUN,
                 step="limit_team",
                 reason="the team's request rate is used up",
-                retry_after_ms=max(1, limit.wait_ms),
+                retry_after_ms=max(1, limit.retry_after_ms),
             )
         return caller
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-    from clementineyoke_core.resume_token import ResumeToken, StreamPlace
+    from clementineyoke_core.resume_token import ResumeTokenCodec, StreamLocation
     from clementineyoke_core.runner import Runner
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.callers.caller_request import CallerRequest
@@ -38,7 +38,7 @@
     def __init__(
         self,
         *,
-        tokens: ResumeToken,
+        tokens: ResumeTokenCodec,
         table: RunnerTable,
         broker: SlotBroker,
         client: RunnerClient,
@@ -91,7 +91,9 @@
                     request, answer, runner=runner, request_id=call.request_id
                 )
 
-    def _find_place(self, request: web.Request, caller: CallerRequest) -> StreamPlace:
+    def _find_place(
+        self, request: web.Request, caller: CallerRequest
+    ) -> StreamLocation:
         token = request.headers.get(headers.RESUME, "")
         place = self._tokens.read(caller.team_path, token)
         if place is None:
@@ -103,7 +105,7 @@
             )
         return place
 
-    def _find_runner(self, place: StreamPlace) -> Runner:
+    def _find_runner(self, place: StreamLocation) -> Runner:
         entry = self._table.get(place.runner_id)
         if entry is None:
             raise _lost(place.runner_id, "the runner is gone")
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from clementineyoke_core.claims.decision import ClaimDecision, ClaimVerdict
-from clementineyoke_core.claims.record import KeptAnswer
+from clementineyoke_core.claims.record import StoredAnswer
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
@@ -81,7 +81,7 @@
             key=key,
             request=f"{call.method} {call.path}\0".encode() + call.body,
         )
-        decision = await self._claims.take(claim)
+        decision = await self._claims.acquire(claim)
         if decision.verdict is not ClaimVerdict.GRANTED:
             return _answer_without_run(decision, call.caller.request_id)
         return await self._run_claimed(call, claim)
@@ -94,7 +94,9 @@
             if error.outcome is Outcome.NOT_RUN:
                 self._claims.report(claim, ran=False)
             raise
-        answer = KeptAnswer(response.status, response.content_type, _body_of(response))
+        answer = StoredAnswer(
+            response.status, response.content_type, _body_of(response)
+        )
         self._claims.report(claim, ran=True, answer=answer)
         return response
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from clementineyoke_core.claims.segment import (
-    FIRST_HEAD,
+    INITIAL_HEAD,
     ChainRead,
     StoredSegment,
     decode_head,
     decode_segment,
     head_name,
-    slot_name,
+    segment_name,
 )
 from clementineyoke_node.objects.object_api import NO_OBJECT
 from clementineyoke_node.objects.platform_error import PlatformError
@@ -36,7 +36,7 @@
         against an open segment or a head that has moved on is refused.
         """
         stored = await self._objects.read(head_name(self._shard))
-        head = FIRST_HEAD if stored is None else decode_head(stored.body)
+        head = INITIAL_HEAD if stored is None else decode_head(stored.body)
         version = NO_OBJECT if stored is None else stored.version
         numbers = range(head.first, head.open + 1)
         segments = await asyncio.gather(
@@ -45,7 +45,7 @@
         return ChainRead(version, head, dict(zip(numbers, segments, strict=True)))
 
     async def _read_segment(self, head: ChainHead, number: int) -> StoredSegment:
-        name = slot_name(self._shard, number)
+        name = segment_name(self._shard, number)
         stored = await self._objects.read(name)
         if stored is None:
             return StoredSegment(NO_OBJECT, None)
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
@@ -7,16 +7,16 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from clementineyoke_core.claims.decision import ClaimDecision, ClaimVerdict
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_core.claims.record import KeptAnswer
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_core.claims.record import StoredAnswer
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_node.claims.claim_home import shard_name
-from clementineyoke_node.claims.shard_task import PendingAsk
+from clementineyoke_node.claims.shard_task import PendingClaim
 from clementineyoke_node.peers.peer_socket import PeerAddress
 from clementineyoke_wire.messages import ClaimReply, ClaimRequest, ClaimResult
 
 if TYPE_CHECKING:
-    from clementineyoke_core.homes import Homes
+    from clementineyoke_core.home_nodes import HomeNodes
     from clementineyoke_core.membership import Membership
     from clementineyoke_core.node import Node
     from clementineyoke_node.claims.claim_home import ClaimHome
@@ -47,7 +47,7 @@
         self,
         *,
         membership: Membership,
-        homes: Homes,
+        homes: HomeNodes,
         home: ClaimHome,
         socket: PeerSocket,
         timers: TimerService,
@@ -66,13 +66,13 @@
         """Return a claim under a fresh holder; equal scope and key meet again."""
         text = f"{scope}\0{key}"
         digest = blake2b(text.encode(), digest_size=KEY_BYTES).hexdigest()
-        own = self._membership.own
-        started = self._membership.started
+        own = self._membership.local_node
+        started = self._membership.initial_incarnation
         holder = f"{own.node_id}.{started:x}.{self._socket.next_ask_id():x}"
         request_digest = blake2b(request, digest_size=DIGEST_BYTES).hexdigest()
         return Claim(hash_text(text) % self._shards, digest, holder, request_digest)
 
-    async def take(self, claim: Claim) -> ClaimDecision:
+    async def acquire(self, claim: Claim) -> ClaimDecision:
         """Return the home's verdict, or UNAVAILABLE when none came in time.
 
         After UNAVAILABLE this holder never runs the request, so "not run" is true even
@@ -82,7 +82,7 @@
         if home is None:
             return ClaimDecision(ClaimVerdict.UNAVAILABLE)
         try:
-            if home.node_id == self._membership.own.node_id:
+            if home.node_id == self._membership.local_node.node_id:
                 return await self._take_here(claim)
             return await self._take_at(home, claim)
         except TimeoutError:
@@ -90,13 +90,13 @@
             return ClaimDecision(ClaimVerdict.UNAVAILABLE)
 
     def report(
-        self, claim: Claim, *, ran: bool, answer: KeptAnswer | None = None
+        self, claim: Claim, *, ran: bool, answer: StoredAnswer | None = None
     ) -> None:
         """Tell the home what became of the request; may be lost, which is safe."""
         home = self._home_of(claim)
         if home is None:
             return
-        if home.node_id == self._membership.own.node_id:
+        if home.node_id == self._membership.local_node.node_id:
             report = ClaimReport(claim.key, claim.holder, ran, answer)
             self._home.report(claim.shard, report)
             return
@@ -111,8 +111,8 @@
                 future.set_result(decision)
 
         gives_up_ms = self._timers.now_ms() + self._timeout_ms
-        ask = ClaimAsk(claim.key, claim.holder, claim.request_digest)
-        self._home.ask(claim.shard, PendingAsk(ask, gives_up_ms, answer))
+        ask = ClaimAttempt(claim.key, claim.holder, claim.request_digest)
+        self._home.ask(claim.shard, PendingClaim(ask, gives_up_ms, answer))
         return await asyncio.wait_for(future, self._timeout_ms / MS_PER_S)
 
     async def _take_at(self, home: Node, claim: Claim) -> ClaimDecision:
@@ -125,7 +125,7 @@
         )
         answer = None
         if reply.has_answer:
-            answer = KeptAnswer(reply.status, reply.content_type, reply.body)
+            answer = StoredAnswer(reply.status, reply.content_type, reply.body)
         return ClaimDecision(ClaimVerdict(reply.verdict), answer)
 
     def _home_of(self, claim: Claim) -> Node | None:
@@ -133,7 +133,7 @@
         return None if home_id is None else self._membership.node(home_id)
 
 
-def _to_result(claim: Claim, ran: bool, answer: KeptAnswer | None) -> ClaimResult:
+def _to_result(claim: Claim, ran: bool, answer: StoredAnswer | None) -> ClaimResult:
     if answer is None or len(answer.body) > LARGEST_SENT_ANSWER_BYTES:
         return ClaimResult(claim.shard, claim.key, claim.holder, ran)
     return ClaimResult(
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_home.py
@@ -5,9 +5,9 @@
 from contextlib import AsyncExitStack
 from typing import TYPE_CHECKING, Self
 
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_core.claims.record import KeptAnswer
-from clementineyoke_node.claims.shard_task import PendingAsk, ShardTask
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_core.claims.record import StoredAnswer
+from clementineyoke_node.claims.shard_task import PendingClaim, ShardTask
 from clementineyoke_wire.messages import ClaimReply, ClaimRequest, ClaimResult
 
 if TYPE_CHECKING:
@@ -41,14 +41,14 @@
         socket: PeerSocket,
         shards: int,
         batch_ms: float,
-        patience_ms: float,
+        timeout_ms: float,
     ) -> None:
         self._objects = objects
         self._timers = timers
         self._socket = socket
         self._shards = shards
         self._batch_ms = batch_ms
-        self._patience_ms = patience_ms
+        self._patience_ms = timeout_ms
         self._tasks: dict[int, ShardTask] = {}
         self._stack = AsyncExitStack()
         socket.handle(ClaimRequest, self._receive_request)
@@ -80,9 +80,9 @@
         """Whether every report that was taken is durable."""
         return all(task.is_idle for task in self._tasks.values())
 
-    def ask(self, shard: int, pending: PendingAsk) -> None:
+    def ask(self, shard: int, pending: PendingClaim) -> None:
         """Take an ask for a shard."""
-        self._tasks[shard].ask(pending)
+        self._tasks[shard].submit(pending)
 
     def report(self, shard: int, report: ClaimReport) -> None:
         """Take a report for a shard."""
@@ -97,8 +97,8 @@
         def answer(decision: ClaimDecision) -> None:
             self._reply(peer, request.ask_id, decision)
 
-        pending = PendingAsk(
-            ClaimAsk(request.key, request.holder, request.request_digest),
+        pending = PendingClaim(
+            ClaimAttempt(request.key, request.holder, request.request_digest),
             self._timers.now_ms() + self._patience_ms,
             answer,
         )
@@ -110,7 +110,7 @@
             return
         answer = None
         if result.has_answer:
-            answer = KeptAnswer(result.status, result.content_type, result.body)
+            answer = StoredAnswer(result.status, result.content_type, result.body)
         report = ClaimReport(result.key, result.holder, result.ran, answer)
         self.report(result.shard, report)
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from clementineyoke_core.claims.decision import ClaimDecision
-    from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
+    from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
     from clementineyoke_node.objects.object_api import ObjectApi
     from clementineyoke_node.timers.timer_service import TimerService
 
@@ -33,10 +33,10 @@
 """How long a report waits for an ask's write to go along with."""
 
 
-class PendingAsk(NamedTuple):
+class PendingClaim(NamedTuple):
     """An ask that waits for a verdict, and until when its holder waits."""
 
-    ask: ClaimAsk
+    ask: ClaimAttempt
     gives_up_ms: float
     answer: Callable[[ClaimDecision], None]
 
@@ -58,7 +58,7 @@
         self._batch_ms = batch_ms
         self._chain = ClaimChain(shard=name)
         self._store = ChainStore(shard=name, objects=objects)
-        self._asks: list[PendingAsk] = []
+        self._asks: list[PendingClaim] = []
         self._reports: list[ClaimReport] = []
         self._wake = asyncio.Event()
         self._tasks = BackgroundTasks()
@@ -81,7 +81,7 @@
         """Whether nothing waits to become durable."""
         return not self._asks and not self._reports
 
-    def ask(self, pending: PendingAsk) -> None:
+    def submit(self, pending: PendingClaim) -> None:
         """Take an ask; its answer comes by the callback, or never."""
         self._asks.append(pending)
         self._wake.set()
@@ -95,7 +95,7 @@
         self._asks = [
             pending for pending in self._asks if pending.ask.holder != report.holder
         ]
-        self._chain.note(report)
+        self._chain.apply_report(report)
         if not self._reports:
             self._first_report_ms = self._timers.now_ms()
         self._reports.append(report)
@@ -128,7 +128,7 @@
             return 0.0 if await self._write() else RETRY_PAUSE_MS
         except (PlatformError, msgspec.DecodeError) as error:
             log_event(Event.PLATFORM_AWAY, step=self._name, reason=str(error))
-            self._chain.distrust()
+            self._chain.mark_stale()
             return RETRY_PAUSE_MS
 
     def _write_due_ms(self) -> float:
@@ -149,7 +149,7 @@
             return
         self._chain.load(await self._store.read())
         for report in self._reports:
-            self._chain.note(report)
+            self._chain.apply_report(report)
 
     def _answer_decided(self) -> None:
         undecided = []
@@ -169,21 +169,21 @@
             await self._write_until_claims(asks, reports)
         except VersionConflictError:
             log_event(Event.CLAIMS_CONFLICT, shard=self._name)
-            self._chain.distrust()
+            self._chain.mark_stale()
             return False
         except PlatformError as error:
             log_event(Event.CLAIMS_UNSURE, shard=self._name, reason=error.reason)
-            self._chain.distrust()
+            self._chain.mark_stale()
             return False
         del self._reports[: len(reports)]
         for report in self._reports:
-            self._chain.note(report)
+            self._chain.apply_report(report)
         log_event(Event.CLAIMS_WRITTEN, shard=self._name, claims=len(asks))
         self._answer_decided()
         return True
 
     async def _write_until_claims(
-        self, asks: list[PendingAsk], reports: list[ClaimReport]
+        self, asks: list[PendingClaim], reports: list[ClaimReport]
     ) -> None:
         """Write what is due before the claims, then the claims."""
         while True:
@@ -196,6 +196,6 @@
             version = await self._objects.write(
                 write.name, write.body, expected_version=write.expected_version
             )
-            self._chain.written(write, version=version)
+            self._chain.record_written(write, version=version)
             if write.kind is WriteKind.CLAIMS:
                 return
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/edge_config.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/edge_config.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from clementineyoke_core.edge.node_capacity import calls_borne_per_s
+from clementineyoke_core.edge.node_capacity import capacity_calls_per_s
 from clementineyoke_node.config.config_error import ConfigError
 from clementineyoke_node.config.json_file import read_json
 
@@ -79,7 +79,9 @@
     def calls_per_s(self) -> int:
         """Calls a second that processor and link bear; 0 if they are not known."""
         cpu_cores = (self.cpu_share or 0.0) * (self.cpu_speed or 0.0)
-        return calls_borne_per_s(cpu_cores=cpu_cores, link_mbps=self.link_mbps or 0.0)
+        return capacity_calls_per_s(
+            cpu_cores=cpu_cores, link_mbps=self.link_mbps or 0.0
+        )
 
     @property
     def control_port(self) -> int:
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
@@ -54,15 +54,15 @@
 
 async def _serve(config: EdgeConfig, path: str, start: EarlyStart) -> None:
     loop = asyncio.get_running_loop()
-    service = EdgeService(config=config, take_door=start.take)
-    settings = SettingsFile(path=path, config=config, on_change=service.take_config)
+    service = EdgeService(config=config, take_listener=start.take)
+    settings = SettingsFile(path=path, config=config, on_change=service.apply_config)
     # Before any call is taken: a signal that met its default then would end the process
     # with the calls that it has.
-    loop.add_signal_handler(signal.SIGTERM, service.order_stop)
-    loop.add_signal_handler(signal.SIGINT, service.order_stop)
+    loop.add_signal_handler(signal.SIGTERM, service.request_stop)
+    loop.add_signal_handler(signal.SIGINT, service.request_stop)
     loop.add_signal_handler(signal.SIGHUP, settings.reload)
     if start.is_stop_ordered:
-        service.order_stop()
+        service.request_stop()
     async with service:
         service.io.timers.subscribe(
             "settings", interval_ms=SETTINGS_INTERVAL_MS, call=settings.check
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from clementineyoke_core.edge.attempt_ledger import AttemptEnd
-    from clementineyoke_node.edge.runner_answer import WholeAnswer
+    from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
+    from clementineyoke_node.edge.runner_response import WholeAnswer
 
 
 class AttemptError(Exception):
@@ -15,7 +15,7 @@
     def __init__(
         self,
         *,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         step: str,
         peer: str,
         reason: str,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_attempts.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
@@ -8,11 +8,11 @@
 
 import aiohttp
 
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd
-from clementineyoke_node.edge.answer_checks import check_outcome, read_whole
+from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.overdue_alarm import OverdueAlarm
-from clementineyoke_node.edge.runner_wait import RunnerWait
+from clementineyoke_node.edge.overdue_timer import OverdueAlarm
+from clementineyoke_node.edge.response_checks import check_outcome, read_whole
+from clementineyoke_node.edge.runner_timeout import RunnerWait
 from clementineyoke_node.platform.runner_codec import RunnerOrder
 from clementineyoke_wire.events import Event
 
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from clementineyoke_core.edge.admission import AdmittedCall
-    from clementineyoke_core.edge.patience import Patience
+    from clementineyoke_core.edge.attempt_timeouts import AttemptTimeouts
     from clementineyoke_core.edge.prompt_holders import PromptHolders
     from clementineyoke_core.membership import Membership
     from clementineyoke_core.pool_rings import PoolRings
@@ -28,8 +28,8 @@
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.callers.decision_ring import DecisionRing
     from clementineyoke_node.edge.caller_stream import CallerStream
-    from clementineyoke_node.edge.runner_answer import OpenAnswer, WholeAnswer
-    from clementineyoke_node.edge.runner_link import RunnerLink
+    from clementineyoke_node.edge.runner_connection_pool import RunnerConnectionPool
+    from clementineyoke_node.edge.runner_response import OpenAnswer, WholeAnswer
     from clementineyoke_node.slots.slot_broker import SlotBroker
     from clementineyoke_node.timers.timer_service import TimerService
 
@@ -37,28 +37,28 @@
 LEAST_WAIT_S = 0.001
 
 
-class RunnerAttempts:
+class AttemptExecutor:
     """Send a call to a runner, and hand on or return what comes back."""
 
     def __init__(
         self,
         *,
         broker: SlotBroker,
-        link: RunnerLink,
+        connection_pool: RunnerConnectionPool,
         rings: PoolRings,
         table: RunnerTable,
-        patience: Patience,
-        holders: PromptHolders,
+        timeouts: AttemptTimeouts,
+        prompt_holders: PromptHolders,
         timers: TimerService,
         decisions: DecisionRing,
         membership: Membership,
     ) -> None:
         self._broker = broker
-        self._link = link
+        self._link = connection_pool
         self._rings = rings
         self._table = table
-        self._patience = patience
-        self._holders = holders
+        self._patience = timeouts
+        self._holders = prompt_holders
         self._timers = timers
         self._decisions = decisions
         self._membership = membership
@@ -79,7 +79,7 @@
         left_ms = admitted.deadline_ms - now_ms
         if left_ms <= 0:
             raise AttemptError(
-                end=AttemptEnd.NOT_SENT,
+                end=AttemptOutcome.NOT_SENT,
                 step="dispatch",
                 peer=runner.runner_id,
                 reason="no time left",
@@ -116,7 +116,7 @@
         check_outcome(whole, runner=runner)
         if stream.has_begun:
             raise AttemptError(
-                end=AttemptEnd.FAILED,
+                end=AttemptOutcome.FAILED,
                 step="resume",
                 peer=runner.runner_id,
                 reason=f"answered {whole.head.status} to a stream that goes on",
@@ -132,7 +132,7 @@
                 return await read_whole(answer, runner=runner)
         except TimeoutError as error:
             raise AttemptError(
-                end=AttemptEnd.LOST,
+                end=AttemptOutcome.LOST,
                 step="read_body",
                 peer=runner.runner_id,
                 reason="the time is up",
@@ -151,7 +151,7 @@
     ) -> None:
         if not answer.head.has_proof:
             raise AttemptError(
-                end=AttemptEnd.LOST,
+                end=AttemptOutcome.LOST,
                 step="check_proof",
                 peer=runner.runner_id,
                 reason="a stream without the runner's proof",
@@ -164,14 +164,14 @@
             alarm.stop()
             if is_first:
                 self._patience.record_first_event(
-                    admitted.route, after_ms=self._timers.now_ms() - begun_ms
+                    admitted.route, latency_ms=self._timers.now_ms() - begun_ms
                 )
                 is_first = False
                 self._note_holder(admitted, runner)
             await stream.feed(chunk)
         if stream.has_part:
             raise AttemptError(
-                end=AttemptEnd.LOST,
+                end=AttemptOutcome.LOST,
                 step="relay",
                 peer=runner.runner_id,
                 reason="the stream stopped within an event",
@@ -195,7 +195,7 @@
                 return await answer.response.content.readany()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise AttemptError(
-                end=AttemptEnd.LOST,
+                end=AttemptOutcome.LOST,
                 step="relay",
                 peer=runner.runner_id,
                 reason=repr(error),
@@ -212,7 +212,9 @@
         last = self._last_holder(admitted.prompt_key)
         if last is not None and last.runner_id != runner.runner_id:
             return f"{last.address}:{last.port}"
-        for holder_id in self._rings.holders(admitted.pool, admitted.prompt_key):
+        for holder_id in self._rings.cache_candidates(
+            admitted.pool, admitted.prompt_key
+        ):
             entry = self._table.get(holder_id)
             if holder_id == runner.runner_id or entry is None:
                 continue
@@ -221,7 +223,7 @@
 
     def _last_holder(self, prompt_key: int) -> Runner | None:
         """Return the runner that answered for a prompt last, if it can be asked."""
-        last = self._holders.last(prompt_key, now_ms=self._timers.now_ms())
+        last = self._holders.last_holder(prompt_key, now_ms=self._timers.now_ms())
         if last is None or not self._table.is_current(last):
             return None
         # One that is dark would hold up the runner that fetches from it.
@@ -234,7 +236,7 @@
             )
 
     def _alarm(self, admitted: AdmittedCall, runner: Runner) -> OverdueAlarm:
-        after_ms = self._patience.overdue_ms(
+        after_ms = self._patience.overdue_after_ms(
             admitted.route, prompt_tokens=admitted.prompt_tokens
         )
         return OverdueAlarm(
@@ -256,9 +258,10 @@
         route, tokens = admitted.route, admitted.prompt_tokens
         left_ms = admitted.deadline_ms - self._timers.now_ms()
         return RunnerWait(
-            patience_ms=self._patience.head_ms(route, prompt_tokens=tokens),
+            patience_ms=self._patience.head_timeout_ms(route, prompt_tokens=tokens),
             longest_ms=min(
-                left_ms, self._patience.last_ms(route, prompt_tokens=tokens)
+                left_ms,
+                self._patience.last_attempt_timeout_ms(route, prompt_tokens=tokens),
             ),
             may_go_on=may_go_on,
         )
@@ -268,7 +271,7 @@
     ) -> RunnerWait:
         left_ms = admitted.deadline_ms - self._timers.now_ms()
         return RunnerWait(
-            patience_ms=self._patience.pause_ms(admitted.route),
+            patience_ms=self._patience.next_event_timeout_ms(admitted.route),
             longest_ms=left_ms,
             may_go_on=may_go_on,
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_door.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
@@ -20,7 +20,7 @@
 
     from clementineyoke_core.edge.call_rate import CallRate
     from clementineyoke_core.edge.edge_call import EdgeCall
-    from clementineyoke_core.edge.start_wait import StartWait
+    from clementineyoke_core.edge.startup_wait import StartupWait
     from clementineyoke_core.membership import Membership
     from clementineyoke_node.callers.decision_ring import DecisionRing
     from clementineyoke_node.callers.in_flight import InFlight
@@ -33,7 +33,7 @@
 BUSY_RETRY_MS = 500
 
 
-class CallerDoor:
+class CallerApi:
     """Answer callers' requests, each with one answer or a visible break."""
 
     def __init__(
@@ -47,8 +47,8 @@
         metrics: Metrics,
         rng: Random,
         membership: Membership,
-        start_wait: StartWait,
-        rate: CallRate,
+        start_wait: StartupWait,
+        call_rate: CallRate,
     ) -> None:
         self._view = view
         self._forwarder = forwarder
@@ -59,12 +59,12 @@
         self._rng = rng
         self._membership = membership
         self._start_wait = start_wait
-        self._rate = rate
+        self._rate = call_rate
         self._busy: set[web.RequestHandler] = set()
 
-    def begin(self) -> None:
+    def record_start(self) -> None:
         """Note the node's start."""
-        self._start_wait.begin(now_ms=self._timers.now_ms())
+        self._start_wait.record_start(now_ms=self._timers.now_ms())
 
     def is_busy(self, connection: web.RequestHandler) -> bool:
         """Whether a caller's connection carries a call now."""
@@ -133,14 +133,14 @@
         return await self._forwarder.forward(request, admitted)
 
     async def _wait_for_state(self) -> None:
-        wait_ms = self._start_wait.enter(now_ms=self._timers.now_ms())
+        wait_ms = self._start_wait.begin_wait(now_ms=self._timers.now_ms())
         try:
             async with asyncio.timeout(wait_ms / MS_PER_S):
                 await self._view.ready.wait()
         except TimeoutError:
             return  # what is known by now decides, and the refusal says so
         finally:
-            self._start_wait.leave()
+            self._start_wait.end_wait()
 
     def _refuse(
         self, call: EdgeCall, error: RequestError, arrived_ms: float
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
@@ -32,7 +32,7 @@
     @property
     def has_part(self) -> bool:
         """Whether the runner stopped within an event."""
-        return self._splitter.has_part
+        return self._splitter.has_partial_event
 
     async def begin(self, head: AnswerHead, *, is_leaving: bool) -> None:
         """Send the head of the first runner that answers; later ones add events."""
@@ -74,10 +74,10 @@
         return self.response
 
     def _is_new(self, event: StreamEvent) -> bool:
-        if event.number is None:
+        if event.event_id is None:
             return True
-        if self.last_event is not None and event.number <= self.last_event:
+        if self.last_event is not None and event.event_id <= self.last_event:
             # A runner that goes on may begin with what the caller has already.
             return False
-        self.last_event = event.number
+        self.last_event = event.event_id
         return True
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_archive.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_archive.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from clementineyoke_core.edge.crash_records import KEPT_MS
+from clementineyoke_core.edge.crash_records import RETENTION_MS
 from clementineyoke_node.platform import names
 from clementineyoke_node.platform.entry_codec import decode_crash, encode_crash
 from clementineyoke_node.platform.format_error import FormatError
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from clementineyoke_core.edge.crash_records import CrashRecord
-    from clementineyoke_node.edge.crash_watch import CrashWatch
+    from clementineyoke_node.edge.crash_tracker import CrashTracker
     from clementineyoke_node.platform.store_client import StoreClient
     from clementineyoke_node.timers.timer_service import TimerService
     from clementineyoke_wire.messages import CrashNote
@@ -41,19 +41,19 @@
         self,
         *,
         store: StoreClient,
-        crashes: CrashWatch,
+        crash_tracker: CrashTracker,
         timers: TimerService,
-        has_duty: Callable[[], bool],
+        is_watcher: Callable[[], bool],
     ) -> None:
         self._store = store
-        self._crashes = crashes
+        self._crashes = crash_tracker
         self._timers = timers
-        self._has_duty = has_duty
+        self._has_duty = is_watcher
         self._paused_until_ms = 0.0
         self._written: dict[bytes, int] = {}
         """Ends under each request as they were last written."""
 
-    async def read_when(self, entered: asyncio.Event) -> None:
+    async def load_after(self, entered: asyncio.Event) -> None:
         """Read what is kept, once it is known who watches the store."""
         await entered.wait()
         while self._has_duty():
@@ -84,7 +84,7 @@
             except FormatError as error:
                 log_event(Event.HOST_REFUSED, host=error.peer, reason=error.reason)
                 continue
-            if note.age_ms < KEPT_MS:
+            if note.age_ms < RETENTION_MS:
                 notes.append(note)
             else:
                 # Its home has not lived to remove it.
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_watch.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
@@ -19,12 +19,12 @@
 
     from clementineyoke_core.edge.admission import AdmittedCall
     from clementineyoke_core.edge.crash_records import CrashRecords
-    from clementineyoke_core.homes import Homes
+    from clementineyoke_core.home_nodes import HomeNodes
     from clementineyoke_core.membership import Membership
     from clementineyoke_core.runner import Runner
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.callers.decision_ring import DecisionRing
-    from clementineyoke_node.edge.runner_link import RunnerLink
+    from clementineyoke_node.edge.runner_connection_pool import RunnerConnectionPool
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
     from clementineyoke_node.timers.background_tasks import BackgroundTasks
     from clementineyoke_node.timers.timer_service import TimerService
@@ -51,7 +51,7 @@
     broke_ms: float
 
 
-class CrashWatch:
+class CrashTracker:
     """Own what this node knows of requests under which runners have ended.
 
     A node whose call breaks looks whether the runner has ended, and tells the request's
@@ -66,9 +66,9 @@
         self,
         *,
         records: CrashRecords,
-        link: RunnerLink,
+        connection_pool: RunnerConnectionPool,
         table: RunnerTable,
-        homes: Homes,
+        homes: HomeNodes,
         membership: Membership,
         socket: PeerSocket,
         tasks: BackgroundTasks,
@@ -76,7 +76,7 @@
         decisions: DecisionRing,
     ) -> None:
         self._records = records
-        self._link = link
+        self._link = connection_pool
         self._table = table
         self._homes = homes
         self._membership = membership
@@ -161,13 +161,13 @@
             self._log(digest, record)
             self._tell(digest, record)
 
-    def take_notes(self, notes: Iterable[CrashNote]) -> list[CrashNote]:
+    def merge_notes(self, notes: Iterable[CrashNote]) -> list[CrashNote]:
         """Take what a peer or the store knows; return what was news."""
         return [note for note in notes if self._take(note)]
 
     def tell_notes(self, notes: Iterable[CrashNote]) -> None:
         """Take what the store held, and tell the other nodes what was news."""
-        for note in self.take_notes(notes):
+        for note in self.merge_notes(notes):
             self._tell(note.digest, self._records.get(note.digest))
 
     def is_refused(self, digest: bytes) -> bool:
@@ -179,22 +179,24 @@
         """Return the refused requests of which this node is the first home."""
         if self._records.is_empty:
             return {}
-        own_id = self._membership.own.node_id
+        own_id = self._membership.local_node.node_id
         return {
             digest: record
-            for digest, record in self._records.shared()
+            for digest, record in self._records.records_to_share()
             if self.is_refused(digest)
-            and self._homes.homes_of(_key_of(digest), most=1) == [own_id]
+            and self._homes.homes_of(_key_of(digest), max_nodes=1) == [own_id]
         }
 
-    def notes(self) -> list[CrashNote]:
+    def newest_notes(self) -> list[CrashNote]:
         """Return the records for a node that has just started, the newest first."""
-        shared = sorted(self._records.shared(), key=lambda known: -known[1].last_ms)
+        shared = sorted(
+            self._records.records_to_share(), key=lambda known: -known[1].last_ms
+        )
         return [self._to_note(*known) for known in shared[:MOST_NOTES]]
 
-    def next_notes(self) -> list[CrashNote]:
+    def next_gossip_notes(self) -> list[CrashNote]:
         """Return some of the records, others each time."""
-        shared = list(self._records.shared())
+        shared = list(self._records.records_to_share())
         if not shared:
             return []
         start = self._next_note % len(shared)
@@ -202,9 +204,9 @@
         turned = [*shared[start:], *shared[:start]]
         return [self._to_note(*known) for known in islice(turned, NOTES_A_GOSSIP)]
 
-    def drop_old(self) -> None:
+    def drop_expired(self) -> None:
         """Forget what has not happened again for long."""
-        self._records.drop_old(now_ms=self._timers.now_ms())
+        self._records.drop_expired(now_ms=self._timers.now_ms())
 
     async def _look_into(self, runner: Runner) -> None:
         """Report the calls that broke at a runner, if it has ended.
@@ -229,8 +231,8 @@
             round(now_ms - call.sent_ms),
             round(now_ms - call.broke_ms),
         )
-        own_id = self._membership.own.node_id
-        homes = self._homes.homes_of(_key_of(call.digest), most=HOMES_A_REQUEST)
+        own_id = self._membership.local_node.node_id
+        homes = self._homes.homes_of(_key_of(call.digest), max_nodes=HOMES_A_REQUEST)
         for home_id in homes:
             home = self._membership.node(home_id)
             if home_id == own_id:
@@ -243,31 +245,31 @@
 
     def _take_report(self, report: CrashReport) -> None:
         now_ms = self._timers.now_ms()
-        record = self._records.record_end(
+        record = self._records.record_crash(
             report.digest,
-            runner=report.runner,
+            lifetime=report.runner,
             sent_ms=now_ms - report.sent_age_ms,
-            ended_ms=now_ms - report.ended_age_ms,
+            crashed_ms=now_ms - report.ended_age_ms,
         )
         if record is not None:
             self._log(report.digest, record)
             self._tell(report.digest, record)
 
     def _receive_news(self, received: PeerMessage) -> None:
-        self.take_notes(received.message.crashes)
+        self.merge_notes(received.message.crashes)
 
     def _take(self, note: CrashNote) -> bool:
         now_ms = self._timers.now_ms()
         record = CrashRecord(
             note.clears, note.crashes, tuple(note.runners), now_ms - note.age_ms
         )
-        is_news = self._records.take(note.digest, record, now_ms=now_ms)
+        is_news = self._records.merge(note.digest, record, now_ms=now_ms)
         if is_news:
             self._log(note.digest, record)
         return is_news
 
     def _tell(self, digest: bytes, record: CrashRecord) -> None:
-        own = self._membership.own
+        own = self._membership.local_node
         peers = [PeerAddress.of(n) for n in self._membership.alive() if n != own]
         self._socket.send_all(peers, CrashNews([self._to_note(digest, record)]))
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_door.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from clementineyoke_core.edge.entry_choice import choose_entries
+from clementineyoke_core.edge.entry_nodes import choose_entry_nodes
 from clementineyoke_node.platform.node_answers import JSON_HEADERS, encode_addresses
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 times a second."""
 
 
-class DirectoryDoor:
+class DirectoryApi:
     """Name the nodes that take calls now."""
 
     def __init__(
@@ -61,15 +61,15 @@
     def _entries(self) -> list[Node]:
         now_ms = self._timers.now_ms()
         if now_ms >= self._chosen_until_ms:
-            self._chosen = choose_entries(
+            self._chosen = choose_entry_nodes(
                 self._serving_nodes(), calls_per_s=self._calls_per_s()
             )
             self._chosen_until_ms = now_ms + CHOICE_MS
         return self._chosen
 
     def _serving_nodes(self) -> list[Node]:
-        own = self._membership.own
-        nodes = [node for node in self._membership.heard() if node != own]
+        own = self._membership.local_node
+        nodes = [node for node in self._membership.confirmed_alive() if node != own]
         if self._is_serving():
             nodes.append(own)
         return nodes
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -6,25 +6,25 @@
 from contextlib import AsyncExitStack
 from typing import TYPE_CHECKING, Self
 
+from clementineyoke_core.edge.attempt_timeouts import AttemptTimeouts
 from clementineyoke_core.edge.crash_records import CrashRecords
-from clementineyoke_core.edge.displacement import PLAIN_SHARE
-from clementineyoke_core.edge.patience import Patience
+from clementineyoke_core.edge.load_cap_share import NO_PROMPT_CAP_SHARE
 from clementineyoke_core.edge.prompt_holders import PromptHolders
 from clementineyoke_core.edge.retry_window import RetryWindow
-from clementineyoke_core.edge.runner_watch import RunnerWatch
+from clementineyoke_core.edge.runner_health import RunnerHealth
 from clementineyoke_core.edge.store_freshness import StoreAges, StoreFreshness
 from clementineyoke_core.load_bound import LoadBound
+from clementineyoke_node.edge.attempt_executor import AttemptExecutor
 from clementineyoke_node.edge.crash_archive import CrashArchive
-from clementineyoke_node.edge.crash_watch import CrashWatch
+from clementineyoke_node.edge.crash_tracker import CrashTracker
 from clementineyoke_node.edge.fleet_view import FleetView
 from clementineyoke_node.edge.forwarder import Forwarder
-from clementineyoke_node.edge.news_cast import NewsCast
-from clementineyoke_node.edge.node_roster import NodeRoster
-from clementineyoke_node.edge.peer_states import PeerStates
-from clementineyoke_node.edge.runner_attempts import RunnerAttempts
-from clementineyoke_node.edge.runner_link import RunnerLink
+from clementineyoke_node.edge.node_registration import NodeRegistration
+from clementineyoke_node.edge.peer_state_exchange import PeerStateExchange
+from clementineyoke_node.edge.runner_connection_pool import RunnerConnectionPool
 from clementineyoke_node.edge.runner_signals import RunnerSignals
 from clementineyoke_node.edge.store_watcher import StoreWatcher
+from clementineyoke_node.edge.update_broadcaster import UpdateBroadcaster
 from clementineyoke_node.fleet.gossiper import Gossiper
 from clementineyoke_node.fleet.introducer import Introducer
 from clementineyoke_node.peers.peer_socket import PeerAddress, PeerSocket
@@ -84,8 +84,8 @@
             decisions=state.decisions,
             on_draining=self._learn_draining,
         )
-        self.link = RunnerLink(timers=self.timers, signals=self.signals)
-        self.watch = RunnerWatch(table=state.table)
+        self.link = RunnerConnectionPool(timers=self.timers, signals=self.signals)
+        self.watch = RunnerHealth(table=state.table)
         self.socket = PeerSocket(
             seal=state.seal,
             address=PeerAddress(config.address, config.peer_port),
@@ -102,11 +102,11 @@
             drain_within_ms=config.drain_within_ms,
             follows_evacuations=config.evacuate_within_ms is not None,
             on_runners=self.apply_hosts,
-            on_news=lambda changes: self.news.tell(changes),
+            on_news=lambda changes: self.broadcaster.broadcast(changes),
         )
-        self.crashes = CrashWatch(
+        self.crash_tracker = CrashTracker(
             records=CrashRecords(),
-            link=self.link,
+            connection_pool=self.link,
             table=state.table,
             homes=state.fleet_homes,
             membership=state.membership,
@@ -117,9 +117,9 @@
         )
         self.archive = CrashArchive(
             store=self.store,
-            crashes=self.crashes,
+            crash_tracker=self.crash_tracker,
             timers=self.timers,
-            has_duty=self._has_watch_duty,
+            is_watcher=self._has_watch_duty,
         )
         self._make_slots()
         self._make_fleet()
@@ -138,9 +138,10 @@
         ):
             await self._stack.enter_async_context(part)
         self._subscribe()
-        self.tasks.spawn(self.roster.enter(), name="enter_roster")
+        self.tasks.spawn(self.registration.register(), name="enter_roster")
         self.tasks.spawn(
-            self.archive.read_when(self.roster.entered), name="read_crash_archive"
+            self.archive.load_after(self.registration.registered),
+            name="read_crash_archive",
         )
         self.meet_seeds(self._config.seeds)
         return self
@@ -155,10 +156,10 @@
         self.slot_home.rebuild()
         entries = self._state.table.entries()
         pools = {entry.runner.pool for entry in entries}
-        self.gossiper.learn_pools({*pools, CALLS_AT_NODES})
+        self.gossiper.set_pools({*pools, CALLS_AT_NODES})
         lifetimes = {entry.runner.lifetime for entry in entries}
-        self.watch.forget(lifetimes)
-        self._state.cold.forget(lifetimes)
+        self.watch.retain(lifetimes)
+        self._state.cold.retain(lifetimes)
         if moved:
             # New homes know nothing of what already runs until they are told.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
@@ -183,7 +184,7 @@
 
     def fleet_calls_per_s(self) -> float:
         """Return the calls a second of the region's nodes, as their gossip tells."""
-        nodes = self._state.membership.heard(region=self._config.region)
+        nodes = self._state.membership.confirmed_alive(region=self._config.region)
         return self._state.mean_load.mean(CALLS_AT_NODES) * len(nodes)
 
     def meet_seeds(self, seeds: list[str]) -> None:
@@ -192,7 +193,7 @@
             address = seed.partition(":")[0]
             if address == self._config.address:
                 continue
-            self.introducer.greet_address(PeerAddress(address, self._config.peer_port))
+            self.introducer.send_hello(PeerAddress(address, self._config.peer_port))
             self.peers.fetch(seed)
 
     def _make_slots(self) -> None:
@@ -205,9 +206,9 @@
             mean_load=state.mean_load,
             socket=self.socket,
             timers=self.timers,
-            cold=state.cold,
+            cold_runners=state.cold,
             load_bound=LoadBound(
-                factor=PLAIN_SHARE * self._config.cap_factor,
+                factor=NO_PROMPT_CAP_SHARE * self._config.cap_factor,
                 slack_slots=SLACK_SLOTS,
                 queue_share=QUEUE_SHARE,
             ),
@@ -225,7 +226,9 @@
 
     def _make_fleet(self) -> None:
         state = self._state
-        self.peers = PeerStates(view=self.view, crashes=self.crashes, seal=state.seal)
+        self.peers = PeerStateExchange(
+            view=self.view, crashes=self.crash_tracker, seal=state.seal
+        )
         self.introducer = Introducer(
             socket=self.socket,
             membership=state.membership,
@@ -240,30 +243,32 @@
             on_change=self.apply_nodes_soon,
             runners_version=lambda: self.view.runners_revision,
             on_newer_runners=self._hear_of_newer,
-            on_stranger=self.introducer.greet_address,
+            on_unknown_peer=self.introducer.send_hello,
             store_ages=self.view.ages,
             on_gossip=self._hear_gossip,
-            crash_notes=self.crashes.next_notes,
+            crash_notes=self.crash_tracker.next_gossip_notes,
             evacuations_version=lambda: self.view.evacuations.version,
         )
-        self.news = NewsCast(
+        self.broadcaster = UpdateBroadcaster(
             socket=self.socket,
             membership=state.membership,
             view=self.view,
             on_newer=self._hear_of_newer,
         )
-        self.roster = NodeRoster(
-            store=self.store, introducer=self.introducer, own=state.membership.own
+        self.registration = NodeRegistration(
+            store=self.store,
+            introducer=self.introducer,
+            own=state.membership.local_node,
         )
         self.store_watcher = StoreWatcher(
             store=self.store,
             view=self.view,
-            news=self.news,
+            broadcaster=self.broadcaster,
             region=self._config.region,
             rng=state.rng,
-            has_duty=self._has_watch_duty,
+            is_watcher=self._has_watch_duty,
             count_watchers=state.count_watchers,
-            entered=self.roster.entered,
+            registered=self.registration.registered,
             heartbeat_ms=self._config.heartbeat_ms,
             apply_within_ms=self._config.apply_within_ms,
             evacuate_within_ms=self._config.evacuate_within_ms,
@@ -271,13 +276,13 @@
 
     def _make_forwarder(self) -> Forwarder:
         config, state = self._config, self._state
-        attempts = RunnerAttempts(
+        attempts = AttemptExecutor(
             broker=self.broker,
-            link=self.link,
+            connection_pool=self.link,
             rings=state.rings,
             table=state.table,
-            patience=Patience(),
-            holders=PromptHolders(),
+            timeouts=AttemptTimeouts(),
+            prompt_holders=PromptHolders(),
             timers=self.timers,
             decisions=state.decisions,
             membership=state.membership,
@@ -285,22 +290,22 @@
         return Forwarder(
             broker=self.broker,
             attempts=attempts,
-            watch=self.watch,
-            crashes=self.crashes,
-            retries=RetryWindow(
+            health=self.watch,
+            crash_tracker=self.crash_tracker,
+            retry_window=RetryWindow(
                 ratio=config.retry_ratio,
                 allowance=config.retry_allowance,
                 window_ms=config.retry_window_s * MS_PER_S,
             ),
             timers=self.timers,
             decisions=state.decisions,
-            sharers=lambda: len(state.membership.alive()),
+            count_nodes=lambda: len(state.membership.alive()),
             random_key=lambda: state.rng.getrandbits(KEY_BITS),
             cap_factor=config.cap_factor,
         )
 
     def _has_watch_duty(self) -> bool:
-        return self.roster.entered.is_set() and self._state.has_watch_duty()
+        return self.registration.registered.is_set() and self._state.has_watch_duty()
 
     def _hear_of_newer(self, node: Node, version: int = 0) -> None:
         self.peers.fetch(
@@ -317,17 +322,17 @@
 
         Its home then refuses slots on it to nodes that do not know yet, in any zone.
         """
-        news = self.view.take_draining(runner)
+        news = self.view.record_draining(runner)
         if news is None:
             return False
         home_id = self._state.region_homes.home_of(runner.runner_id)
         home = None if home_id is None else self._state.membership.node(home_id)
         if home is not None:
-            self.news.tell_node(home, news)
+            self.broadcaster.send_to(home, news)
         return True
 
     def _hear_gossip(self, node: Node, gossip: Gossip) -> None:
-        self.crashes.take_notes(gossip.crashes)
+        self.crash_tracker.merge_notes(gossip.crashes)
         if gossip.evacuations_version > self.view.evacuations.view.revision:
             self._hear_of_newer(node)
         self.view.hear_ages(
@@ -345,15 +350,15 @@
         self.apply_hosts()
 
     async def _do_prompt_work(self) -> None:
-        self._state.table.end_due_backoffs(now_ms=self.timers.now_ms())
-        await self.slot_home.serve_all_waiting()
+        self._state.table.end_expired_backoffs(now_ms=self.timers.now_ms())
+        await self.slot_home.serve_queues()
         await self.view.drop_lapsed()
 
     async def _keep_house(self) -> None:
         rate_per_s = self._state.call_rate.per_s(now_ms=self.timers.now_ms())
         self._state.mean_load.set_local(CALLS_AT_NODES, load=rate_per_s, runners=1)
-        self._state.table.end_due_quarantines(now_ms=self.timers.now_ms())
-        self.crashes.drop_old()
+        self._state.table.end_expired_quarantines(now_ms=self.timers.now_ms())
+        self.crash_tracker.drop_expired()
 
     def _subscribe(self) -> None:
         gossip_ms = self._config.gossip_interval_ms
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -8,14 +8,14 @@
 
 from aiohttp import web
 
-from clementineyoke_core.edge.start_wait import StartWait
+from clementineyoke_core.edge.startup_wait import StartupWait
 from clementineyoke_node.config.edge_config import port_of
 from clementineyoke_node.console.early_start import BACKLOG
-from clementineyoke_node.edge.caller_door import CallerDoor
-from clementineyoke_node.edge.directory_door import DirectoryDoor
+from clementineyoke_node.edge.caller_api import CallerApi
+from clementineyoke_node.edge.directory_api import DirectoryApi
 from clementineyoke_node.edge.edge_io import EdgeIo
-from clementineyoke_node.edge.operator_door import OperatorDoor
-from clementineyoke_node.edge.peer_states import STATE_PATH
+from clementineyoke_node.edge.operator_api import OperatorApi
+from clementineyoke_node.edge.peer_state_exchange import STATE_PATH
 from clementineyoke_node.node_state import NodeState
 from clementineyoke_node.platform import names
 from clementineyoke_wire.events import Event, log_event
@@ -44,16 +44,16 @@
         self,
         *,
         config: EdgeConfig,
-        take_door: Callable[[str], socket.socket | None] = lambda address: None,
+        take_listener: Callable[[str], socket.socket | None] = lambda address: None,
     ) -> None:
         """Put the node together; ``take_door`` gives doors that are open already."""
         self._config = config
-        self._take_door = take_door
+        self._take_door = take_listener
         self._stack = AsyncExitStack()
         self._stop_ordered = asyncio.Event()
         self.state = NodeState(config=config)
         self.io = EdgeIo(config=config, state=self.state)
-        self._door = CallerDoor(
+        self._door = CallerApi(
             view=self.io.view,
             forwarder=self.io.forwarder,
             in_flight=self.state.in_flight,
@@ -62,10 +62,10 @@
             metrics=self.state.metrics,
             rng=self.state.rng,
             membership=self.state.membership,
-            start_wait=StartWait(),
-            rate=self.state.call_rate,
+            start_wait=StartupWait(),
+            call_rate=self.state.call_rate,
         )
-        self._directory = DirectoryDoor(
+        self._directory = DirectoryApi(
             membership=self.state.membership,
             is_serving=self._is_serving,
             calls_per_s=self.io.fleet_calls_per_s,
@@ -76,7 +76,7 @@
     async def __aenter__(self) -> Self:
         """Open the doors, then find store and peers."""
         config = self._config
-        self._door.begin()
+        self._door.record_start()
         await self._open_control()
         self._callers = await self._open(self._caller_application(), [config.front])
         await self._stack.enter_async_context(self.io)
@@ -90,11 +90,11 @@
         await self._stack.aclose()
         log_event(Event.NODE_STOPPED, node=self._config.node_id)
 
-    def order_stop(self) -> None:
+    def request_stop(self) -> None:
         """Take an order to stop; more of them change nothing."""
         self._stop_ordered.set()
 
-    def take_config(self, config: EdgeConfig) -> None:
+    def apply_config(self, config: EdgeConfig) -> None:
         """Take changed settings: new seeds are met; all else waits for a restart."""
         self.io.meet_seeds(config.seeds)
 
@@ -144,7 +144,7 @@
         app.router.add_get(names.READY_PATH, self._directory.ready)
         app.router.add_get(names.RESOLVE_PATH, self._directory.resolve)
         app.router.add_get(STATE_PATH, self.io.peers.answer)
-        OperatorDoor(state=self.state, io=self.io).add_routes(app)
+        OperatorApi(state=self.state, io=self.io).add_routes(app)
         await self._open(app, [config.ready, config.directory, config.control])
 
     async def _open(self, app: web.Application, doors: list[str]) -> web.AppRunner:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from clementineyoke_core.cold_runners import ColdLimit
+from clementineyoke_core.cold_runners import ColdRunnerLimit
 from clementineyoke_core.edge.evacuations import Evacuations
 from clementineyoke_core.edge.route_table import RouteTable
 from clementineyoke_core.edge.runner_directory import RunnerDirectory
-from clementineyoke_core.edge.store_freshness import Followed
+from clementineyoke_core.edge.store_freshness import ViewPart
 from clementineyoke_wire.events import Event, log_event
 
 if TYPE_CHECKING:
@@ -76,11 +76,11 @@
         """As of which revision of the store the runners are known."""
         return self._directory.revision
 
-    def knows(self, followed: Followed) -> bool:
+    def knows(self, followed: ViewPart) -> bool:
         """Whether a part of the view has been heard of at all."""
-        if followed is Followed.STATE:
+        if followed is ViewPart.STATE:
             return self.routes is not None
-        if followed is Followed.EVACUATIONS:
+        if followed is ViewPart.EVACUATIONS:
             return self.evacuations.is_known
         return self.runners_revision > 0
 
@@ -89,12 +89,14 @@
         now_ms = self._timers.now_ms()
         view = self._directory.view(now_ms=now_ms)
         records = tuple(
-            record._replace(cold_ms=self._cold.left_ms(record.runner, now_ms=now_ms))
+            record._replace(
+                cold_ms=self._cold.remaining_ms(record.runner, now_ms=now_ms)
+            )
             for record in view.records
         )
         return view._replace(records=records)
 
-    def take_state(
+    def apply_state(
         self, state: DesiredState, *, source: str, is_zone_told: bool = False
     ) -> None:
         """Put a desired state in force unless it is no newer.
@@ -109,7 +111,7 @@
         self.routes = RouteTable(state=state)
         self._cold.set_limits(
             {
-                limits.pool: ColdLimit(limits.cold_calls_per_s, limits.cold_ms)
+                limits.pool: ColdRunnerLimit(limits.cold_calls_per_s, limits.cold_ms)
                 for limits in state.pools
             }
         )
@@ -123,7 +125,7 @@
         if not is_zone_told:
             self._on_news(None)
 
-    def take_runners(
+    def apply_runners(
         self, view: DirectoryView, *, source: str, is_zone_told: bool = False
     ) -> None:
         """Take the whole list of runners as of a revision."""
@@ -137,7 +139,7 @@
         self._log_lapses(lapsed_before, source)
         self._note_ready()
 
-    def take_changes(
+    def apply_runner_changes(
         self, changes: DirectoryChanges, *, source: str, is_zone_told: bool = False
     ) -> None:
         """Take what changed among the runners."""
@@ -150,7 +152,7 @@
         if not is_zone_told:
             self._on_news(self._with_lapses(changes))
 
-    def take_draining(self, runner: Runner) -> DirectoryChanges | None:
+    def record_draining(self, runner: Runner) -> DirectoryChanges | None:
         """Take a runner's signal in an answer that it drains, and tell the zone.
 
         Returns the news, or None if it was known. The store may learn of it much later,
@@ -162,14 +164,14 @@
             self._on_news(news)
         return news
 
-    def take_evacuations(
+    def apply_evacuations(
         self, view: EvacuationView, *, source: str, is_zone_told: bool = False
     ) -> None:
         """Take all orders to empty zones as of a revision."""
-        change = self.evacuations.take(view)
+        change = self.evacuations.replace(view)
         self._apply_zones(change, source, is_zone_told=is_zone_told)
 
-    def take_evacuation_changes(
+    def apply_evacuation_changes(
         self, changes: EvacuationChanges, *, source: str
     ) -> None:
         """Take what changed among the orders."""
@@ -177,15 +179,15 @@
 
     def follows_on(self, changes: DirectoryChanges) -> bool:
         """Whether no change is missing between this view and the changes."""
-        return self._directory.follows_on(changes)
+        return self._directory.is_contiguous_with(changes)
 
-    def confirm(self, followed: Followed) -> None:
+    def confirm(self, followed: ViewPart) -> None:
         """Note that the store itself has just been heard on a part of this view."""
         now_ms = self._timers.now_ms()
         self._freshness.confirm(followed, now_ms=now_ms)
         self._directory.record_store_answer(at_ms=now_ms)
 
-    def is_stale(self, followed: Followed) -> bool:
+    def is_stale(self, followed: ViewPart) -> bool:
         """Whether nobody has confirmed a part of this view for too long."""
         return self._freshness.is_stale(followed, now_ms=self._timers.now_ms())
 
@@ -205,23 +207,23 @@
         now_ms = self._timers.now_ms()
         self._directory.record_store_answer(at_ms=now_ms - min(ages))
         if self.state_revision >= state_revision > 0:
-            self._freshness.confirm(Followed.STATE, now_ms=now_ms, age_ms=ages.state_ms)
+            self._freshness.confirm(ViewPart.STATE, now_ms=now_ms, age_ms=ages.state_ms)
         if self.runners_revision >= runners_revision > 0:
             self._freshness.confirm(
-                Followed.RUNNERS, now_ms=now_ms, age_ms=ages.runners_ms
+                ViewPart.RUNNERS, now_ms=now_ms, age_ms=ages.runners_ms
             )
         if self.evacuations.view.revision >= evacuations_version > 0:
             self._freshness.confirm(
-                Followed.EVACUATIONS, now_ms=now_ms, age_ms=ages.evacuations_ms
+                ViewPart.EVACUATIONS, now_ms=now_ms, age_ms=ages.evacuations_ms
             )
 
     def record_store_away(self) -> None:
         """Note that the store does not answer this node."""
-        self._directory.record_outage()
+        self._directory.record_store_failure()
 
     def record_store_back(self) -> None:
         """Note that the store answers after it was away."""
-        self._directory.record_outage_end(now_ms=self._timers.now_ms())
+        self._directory.record_store_recovery(now_ms=self._timers.now_ms())
 
     async def drop_lapsed(self) -> None:
         """Drop runners whose entries lapsed in an outage and did not return."""
@@ -235,7 +237,7 @@
         live_ids = {runner.runner_id for runner in live}
         no_longer_live = self._live_ids - live_ids
         self._live_ids = live_ids
-        self._table.replace_listed(
+        self._table.apply_host_list(
             live=live,
             leaving=[record.runner for record in records if record.is_leaving],
             now_ms=self._timers.now_ms(),
@@ -268,7 +270,7 @@
         if change is None:
             return
         orders = self.evacuations.view.zones
-        self._table.set_evacuated(
+        self._table.set_evacuated_zones(
             {order.availability_zone: order.revision for order in orders}
         )
         for zone, revision in change.evacuated:
@@ -302,15 +304,15 @@
         Lists repeat what runners said long ago: a runner that counts as cold since then
         would be taken for warm by its old word.
         """
-        return [record for record in records if self._directory.lacks(record)]
+        return [record for record in records if self._directory.is_newer(record)]
 
     def _note_cold(self, records: list[RunnerRecord]) -> None:
         """Take the runners' words on being cold, unless the directory refused them."""
         now_ms = self._timers.now_ms()
         for record in records:
             if self._directory.is_newest(record):
-                self._cold.record_word(
-                    record.runner, left_ms=record.cold_ms, now_ms=now_ms
+                self._cold.record_report(
+                    record.runner, remaining_ms=record.cold_ms, now_ms=now_ms
                 )
 
     def _with_lapses(self, changes: DirectoryChanges) -> DirectoryChanges:
