--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
@@ -8,14 +8,14 @@
 
 from aiohttp import web
 
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd, AttemptLedger
-from clementineyoke_core.edge.displacement import load_share
+from clementineyoke_core.edge.attempt_ledger import AttemptLedger, AttemptOutcome
+from clementineyoke_core.edge.load_cap_share import load_cap_share
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_node.edge.attempt_error import AttemptError
 from clementineyoke_node.edge.caller_stream import CallerStream
-from clementineyoke_node.slots.slot_wish import SlotWish
+from clementineyoke_node.slots.slot_request import SlotRequest
 from clementineyoke_wire.events import Event
 
 if TYPE_CHECKING:
@@ -23,12 +23,12 @@
 
     from clementineyoke_core.edge.admission import AdmittedCall
     from clementineyoke_core.edge.retry_window import RetryWindow
-    from clementineyoke_core.edge.runner_watch import RunnerWatch
+    from clementineyoke_core.edge.runner_health import RunnerHealth
     from clementineyoke_core.runner import Runner
     from clementineyoke_node.callers.decision_ring import DecisionRing
-    from clementineyoke_node.edge.crash_watch import CrashWatch
-    from clementineyoke_node.edge.runner_answer import WholeAnswer
-    from clementineyoke_node.edge.runner_attempts import RunnerAttempts
+    from clementineyoke_node.edge.attempt_executor import AttemptExecutor
+    from clementineyoke_node.edge.crash_tracker import CrashTracker
+    from clementineyoke_node.edge.runner_response import WholeAnswer
     from clementineyoke_node.slots.slot_broker import SlotBroker
     from clementineyoke_node.slots.slot_lease import SlotLease
     from clementineyoke_node.timers.timer_service import TimerService
@@ -43,7 +43,7 @@
 """Spreads the return of callers that were refused while the node backed off from a
 whole pool: all at once they would be refused again."""
 BROKEN_RETRY_MS = 200
-ANSWERED_ENDS = frozenset((AttemptEnd.FAILED, AttemptEnd.REFUSED))
+ANSWERED_ENDS = frozenset((AttemptOutcome.FAILED, AttemptOutcome.REFUSED))
 """Ends by which a runner shows that it can be reached."""
 LONGEST_QUEUE_MS = 400
 """How long a call may wait for a slot before it is refused with a time to return."""
@@ -56,25 +56,25 @@
         self,
         *,
         broker: SlotBroker,
-        attempts: RunnerAttempts,
-        watch: RunnerWatch,
-        crashes: CrashWatch,
-        retries: RetryWindow,
+        attempts: AttemptExecutor,
+        health: RunnerHealth,
+        crash_tracker: CrashTracker,
+        retry_window: RetryWindow,
         timers: TimerService,
         decisions: DecisionRing,
-        sharers: Callable[[], int],
+        count_nodes: Callable[[], int],
         random_key: Callable[[], int],
         cap_factor: float,
     ) -> None:
         """Take the parts; ``cap_factor`` is the operator's cap over the mean load."""
         self._broker = broker
         self._attempts = attempts
-        self._watch = watch
-        self._crashes = crashes
-        self._retries = retries
+        self._watch = health
+        self._crashes = crash_tracker
+        self._retries = retry_window
         self._timers = timers
         self._decisions = decisions
-        self._sharers = sharers
+        self._sharers = count_nodes
         self._random_key = random_key
         self._cap_factor = cap_factor
 
@@ -87,7 +87,7 @@
         stream = CallerStream(request=request, last_event=admitted.call.last_event)
         ledger = AttemptLedger(
             may_repeat=admitted.route.may_repeat,
-            most_runners=admitted.route.most_runners,
+            max_runners=admitted.route.max_runners,
         )
         while True:
             lease = await self._acquire(admitted, ledger, stream)
@@ -111,7 +111,7 @@
                 else:
                     self._watch.record_success(runner, now_ms=self._timers.now_ms())
                     self._crashes.note_answer(admitted)
-                    self._broker.note_answered(lease)
+                    self._broker.record_answered(lease)
                     return self._answer(
                         admitted,
                         stream.response if answer is None else _to_response(answer),
@@ -127,13 +127,13 @@
         if key is None:
             key = admitted.prompt_key
         left_ms = admitted.deadline_ms - self._timers.now_ms()
-        wish = SlotWish(
+        wish = SlotRequest(
             pool=admitted.pool,
             key=self._random_key() if key is None else key,
             team=hash_text(admitted.team or ""),
             priority=admitted.priority,
             wait_ms=int(max(0.0, min(LONGEST_QUEUE_MS, left_ms))),
-            load_factor=self._cap_factor * load_share(admitted.prompt_tokens),
+            load_factor=self._cap_factor * load_cap_share(admitted.prompt_tokens),
             tried=ledger.tried,
         )
         lease = await self._broker.acquire(wish)
@@ -142,7 +142,7 @@
             return lease
         if stream.has_begun:
             return None
-        is_open = self._broker.has_open(admitted.pool)
+        is_open = self._broker.has_available_runner(admitted.pool)
         raise RequestError(
             status=502 if ledger.may_have_run else 503,
             outcome=Outcome.UNKNOWN if ledger.may_have_run else Outcome.NOT_RUN,
@@ -157,7 +157,7 @@
 
     def _refused_retry_ms(self, pool: str) -> int:
         """Return when a call that did not run may come back."""
-        if self._broker.has_open(pool):
+        if self._broker.has_available_runner(pool):
             return REFUSED_RETRY_MS
         backoff_ms = self._broker.backoff_left_ms(pool, now_ms=self._timers.now_ms())
         if not backoff_ms:
@@ -168,25 +168,29 @@
         self, admitted: AdmittedCall, ledger: AttemptLedger, runner: Runner
     ) -> bool:
         """Whether a call may leave a silent runner, because another may be tried."""
-        if not ledger.may_give_up():
+        if not ledger.may_abandon_attempt():
             return False
         tried = {*ledger.tried, runner.runner_id}
-        return self._broker.has_other(admitted.pool, tried) and self._retries.has_left(
-            admitted.pool, sharers=self._sharers(), now_ms=self._timers.now_ms()
+        return self._broker.has_untried_runner(
+            admitted.pool, tried
+        ) and self._retries.has_budget(
+            admitted.pool, node_count=self._sharers(), now_ms=self._timers.now_ms()
         )
 
     def _may_go_on(
         self, admitted: AdmittedCall, ledger: AttemptLedger, failure: AttemptError
     ) -> bool:
         now_ms = self._timers.now_ms()
-        if admitted.deadline_ms <= now_ms or not ledger.may_try_again():
+        if admitted.deadline_ms <= now_ms or not ledger.may_retry():
             return False
         if failure.is_break and self._crashes.is_suspect(admitted):
             # Runners ended under it before, and so, it seems, did this one.
             return False
         if not ledger.sends:
             return True
-        return self._retries.take(admitted.pool, sharers=self._sharers(), now_ms=now_ms)
+        return self._retries.try_spend(
+            admitted.pool, node_count=self._sharers(), now_ms=now_ms
+        )
 
     def _give_up(
         self,
@@ -274,12 +278,12 @@
         runner = lease.runner
         ledger.record(error.peer, error.end)
         if error.end in ANSWERED_ENDS:
-            self._broker.note_answered(lease)
+            self._broker.record_answered(lease)
         if admitted.deadline_ms > now_ms:
             # At the end of its time a call says little of the runner: the operator's
             # limit may be shorter than the work.
-            self._watch.record_failure(runner, end=error.end, now_ms=now_ms)
-            if error.end is AttemptEnd.NOT_SENT:
+            self._watch.record_failure(runner, outcome=error.end, now_ms=now_ms)
+            if error.end is AttemptOutcome.NOT_SENT:
                 self._broker.report_fault(runner, is_unreachable=True)
             elif error.is_break:
                 self._broker.report_fault(runner)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/node_roster.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
@@ -21,7 +21,7 @@
 """Nodes also meet by seeds and hellos, so the entry is in no hurry."""
 
 
-class NodeRoster:
+class NodeRegistration:
     """Enter this node and greet all others that are entered.
 
     A process that starts again finds its entry as it left it. It reads an old list for
@@ -35,19 +35,19 @@
         self._store = store
         self._introducer = introducer
         self._own = own
-        self.entered = asyncio.Event()
+        self.registered = asyncio.Event()
         """Set once the own entry is there and the others have been read."""
 
-    async def enter(self) -> None:
+    async def register(self) -> None:
         """Write the own entry, read the others'; goes on until both are done."""
-        while not self.entered.is_set():
+        while not self.registered.is_set():
             try:
                 await self._enter()
             except StoreError as error:
                 log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
                 await asyncio.sleep(RETRY_PAUSE_MS / MS_PER_S)
                 continue
-            self.entered.set()
+            self.registered.set()
 
     async def _enter(self) -> None:
         if self._own in await self._greet_listed(may_be_old=True):
@@ -72,5 +72,5 @@
                 nodes.append(decode_node(entry))
             except FormatError as error:
                 log_event(Event.HOST_REFUSED, host=error.peer, reason=error.reason)
-        self._introducer.greet(nodes)
+        self._introducer.add_nodes(nodes)
         return nodes
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_door.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_api.py
@@ -15,7 +15,7 @@
 METRICS_PATH = "/metrics"
 
 
-class OperatorDoor:
+class OperatorApi:
     """Answer on the control port, which callers do not know."""
 
     def __init__(self, *, state: NodeState, io: EdgeIo) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_states.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -20,7 +20,7 @@
 from clementineyoke_wire.wire_error import WireError
 
 if TYPE_CHECKING:
-    from clementineyoke_node.edge.crash_watch import CrashWatch
+    from clementineyoke_node.edge.crash_tracker import CrashTracker
     from clementineyoke_node.edge.fleet_view import FleetView
     from clementineyoke_wire.seal import Seal
 
@@ -56,14 +56,14 @@
     evacuations_version: int = 0
 
 
-class PeerStates:
+class PeerStateExchange:
     """Own the exchange of states between nodes.
 
     The store may turn one node away and serve the others. Without its peers that node
     would go on by an old state, seen as calls with withdrawn keys that still run.
     """
 
-    def __init__(self, *, view: FleetView, crashes: CrashWatch, seal: Seal) -> None:
+    def __init__(self, *, view: FleetView, crashes: CrashTracker, seal: Seal) -> None:
         self._view = view
         self._crashes = crashes
         self._seal = seal
@@ -121,7 +121,7 @@
             self._view.state_revision,
             self._view.runners_revision,
             self._view.ages(),
-            self._crashes.notes(),
+            self._crashes.newest_notes(),
             orders.view if orders.version > evacuations_revision else None,
             orders.version,
         )
@@ -140,15 +140,15 @@
         finally:
             self._asked.discard(address)
         if found.evacuations is not None:
-            self._view.take_evacuations(
+            self._view.apply_evacuations(
                 found.evacuations, source=address, is_zone_told=is_zone_told
             )
         if found.state is not None:
-            self._view.take_state(
+            self._view.apply_state(
                 found.state, source=address, is_zone_told=is_zone_told
             )
         if found.runners is not None:
-            self._view.take_runners(
+            self._view.apply_runners(
                 found.runners, source=address, is_zone_told=is_zone_told
             )
         self._view.hear_ages(
@@ -157,7 +157,7 @@
             runners_revision=found.runners_revision,
             evacuations_version=found.evacuations_version,
         )
-        self._crashes.take_notes(found.crashes)
+        self._crashes.merge_notes(found.crashes)
 
     async def _ask(self, address: str) -> PeerState:
         if self._session is None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/answer_checks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
@@ -6,9 +6,9 @@
 
 import aiohttp
 
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd
+from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.runner_answer import OpenAnswer, WholeAnswer
+from clementineyoke_node.edge.runner_response import OpenAnswer, WholeAnswer
 
 if TYPE_CHECKING:
     from clementineyoke_core.edge.edge_call import EdgeCall
@@ -27,7 +27,7 @@
         body = await answer.response.read()
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         raise AttemptError(
-            end=AttemptEnd.LOST,
+            end=AttemptOutcome.LOST,
             step="read_body",
             peer=runner.runner_id,
             reason=repr(error),
@@ -41,7 +41,7 @@
     head = answer.head
     if head.is_refusal:
         raise AttemptError(
-            end=AttemptEnd.REFUSED,
+            end=AttemptOutcome.REFUSED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"refused with {head.status}",
@@ -49,14 +49,14 @@
     if head.status in PROMISES:
         # Callers take these for "it did not run", which this runner has not said.
         raise AttemptError(
-            end=AttemptEnd.FAILED,
+            end=AttemptOutcome.FAILED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"answered {head.status} without a word that it did not run",
         )
     if head.status >= STATUS_ERROR:
         raise AttemptError(
-            end=AttemptEnd.FAILED,
+            end=AttemptOutcome.FAILED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"failed with {head.status}",
@@ -64,7 +64,7 @@
         )
     if head.status < STATUS_REDIRECT and not head.has_proof:
         raise AttemptError(
-            end=AttemptEnd.LOST,
+            end=AttemptOutcome.LOST,
             step="check_proof",
             peer=runner.runner_id,
             reason="a success without the runner's proof",
@@ -79,7 +79,7 @@
         return
     # A runner that crosses answers would hand one caller's answer to another.
     raise AttemptError(
-        end=AttemptEnd.LOST,
+        end=AttemptOutcome.LOST,
         step="check_echo",
         peer=runner.runner_id,
         reason=f"the answer is for call {head.call_id!r}",
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_link.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
@@ -9,13 +9,13 @@
 import aiohttp
 from yarl import URL
 
-from clementineyoke_core.edge.attempt_ledger import AttemptEnd
-from clementineyoke_core.edge.idle_trust import IdleTrust
-from clementineyoke_node.edge.address_tenure import AddressTenure
-from clementineyoke_node.edge.answer_checks import check_echo
+from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
+from clementineyoke_core.edge.idle_connection_policy import IdleConnectionPolicy
+from clementineyoke_node.edge.address_lifetimes import AddressLifetimes
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.runner_answer import OpenAnswer
+from clementineyoke_node.edge.response_checks import check_echo
 from clementineyoke_node.edge.runner_protocol import make_connector
+from clementineyoke_node.edge.runner_response import OpenAnswer
 from clementineyoke_node.platform.runner_codec import (
     RunnerOrder,
     decode_head,
@@ -30,7 +30,7 @@
     from clementineyoke_core.edge.edge_call import EdgeCall
     from clementineyoke_core.runner import Runner
     from clementineyoke_node.edge.runner_signals import RunnerSignals
-    from clementineyoke_node.edge.runner_wait import RunnerWait
+    from clementineyoke_node.edge.runner_timeout import RunnerWait
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
@@ -51,14 +51,14 @@
         """Whether the connection had carried another call before and was kept."""
 
 
-class RunnerLink:
+class RunnerConnectionPool:
     """Own the connections to runners."""
 
     def __init__(self, *, timers: TimerService, signals: RunnerSignals) -> None:
         self._timers = timers
         self._signals = signals
-        self._trust = IdleTrust()
-        self._tenure = AddressTenure()
+        self._trust = IdleConnectionPolicy()
+        self._tenure = AddressLifetimes()
         self._stack = AsyncExitStack()
         self._kept: aiohttp.ClientSession | None = None
         self._fresh: aiohttp.ClientSession | None = None
@@ -92,7 +92,7 @@
         A connection whose answer was not read to its end is closed, so that the rest
         can never meet another call.
         """
-        self._tenure.enter(
+        self._tenure.record(
             runner.address,
             runner.port,
             lifetime=runner.lifetime,
@@ -132,7 +132,7 @@
     def _session_for(
         self, runner: Runner, *, may_repeat: bool
     ) -> aiohttp.ClientSession:
-        is_trusted = self._trust.trusts(runner.pool, now_ms=self._timers.now_ms())
+        is_trusted = self._trust.may_reuse(runner.pool, now_ms=self._timers.now_ms())
         session = self._kept if may_repeat or is_trusted else self._fresh
         if session is None:
             message = "the runner link is closed"
@@ -167,7 +167,7 @@
                 )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise AttemptError(
-                end=AttemptEnd.NOT_SENT,
+                end=AttemptOutcome.NOT_SENT,
                 step="connect",
                 peer=runner.runner_id,
                 reason=repr(error),
@@ -177,7 +177,7 @@
             if use.has_rested and is_break:
                 self._note_idle_loss(runner, call)
             raise AttemptError(
-                end=AttemptEnd.LOST,
+                end=AttemptOutcome.LOST,
                 step="read_head",
                 peer=runner.runner_id,
                 reason=repr(error),
@@ -194,7 +194,7 @@
             )
 
 
-def _make_session(*, is_kept: bool, tenure: AddressTenure) -> aiohttp.ClientSession:
+def _make_session(*, is_kept: bool, tenure: AddressLifetimes) -> aiohttp.ClientSession:
     session = aiohttp.ClientSession(
         connector=make_connector(
             asyncio.get_running_loop(), is_kept=is_kept, tenure=tenure
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
@@ -16,7 +16,7 @@
     from aiohttp import StreamReader
     from aiohttp.http import RawResponseMessage
 
-    from clementineyoke_node.edge.address_tenure import AddressTenure
+    from clementineyoke_node.edge.address_lifetimes import AddressLifetimes
 
 IDLE_KEPT_S = 4.0
 """Runners close idle connections after a time that they may not state; a call that
@@ -31,7 +31,7 @@
     """Notice resets in answers without a length, and bytes that nobody asked for."""
 
     def __init__(
-        self, *, loop: asyncio.AbstractEventLoop, tenure: AddressTenure
+        self, *, loop: asyncio.AbstractEventLoop, tenure: AddressLifetimes
     ) -> None:
         super().__init__(loop=loop)
         self._tenure = tenure
@@ -81,13 +81,13 @@
         """
         has_stray = self._buffer or self._tail or self._exception is not None
         address, port = self._peer
-        is_of_tenant = self._tenure.is_of_tenant(address, port, made_s=self._made_s)
+        is_of_tenant = self._tenure.is_current(address, port, connected_s=self._made_s)
         is_kept = self._loop.time() < self._heard_s + self._idle_kept_s
         return super().is_connected() and is_of_tenant and is_kept and not has_stray
 
 
 def make_connector(
-    loop: asyncio.AbstractEventLoop, *, is_kept: bool, tenure: AddressTenure
+    loop: asyncio.AbstractEventLoop, *, is_kept: bool, tenure: AddressLifetimes
 ) -> TCPConnector:
     """Return a pool of connections to runners, or one that keeps none."""
     keeping = {"keepalive_timeout": IDLE_KEPT_S} if is_kept else {"force_close": True}
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
@@ -16,7 +16,7 @@
     RunnerRemoval,
 )
 from clementineyoke_core.edge.runner_record import RunnerRecord
-from clementineyoke_core.edge.store_freshness import Followed
+from clementineyoke_core.edge.store_freshness import ViewPart
 from clementineyoke_node.platform import names
 from clementineyoke_node.platform.entry_codec import decode_runner, lifetime_of
 from clementineyoke_node.platform.format_error import FormatError
@@ -30,7 +30,7 @@
     from random import Random
 
     from clementineyoke_node.edge.fleet_view import FleetView
-    from clementineyoke_node.edge.news_cast import NewsCast
+    from clementineyoke_node.edge.update_broadcaster import UpdateBroadcaster
     from clementineyoke_node.platform.store_client import StoreClient
     from clementineyoke_node.platform.store_page import EntryChanges, StoredEntry
 
@@ -67,7 +67,7 @@
     """A kind of the store's objects, and the part of the view that it feeds."""
 
     kind: str
-    part: Followed
+    part: ViewPart
     longest_wait_ms: float
     apply_within_ms: float
     """The operator's bound on how soon a change is in force."""
@@ -86,12 +86,12 @@
         *,
         store: StoreClient,
         view: FleetView,
-        news: NewsCast,
+        broadcaster: UpdateBroadcaster,
         region: str,
         rng: Random,
-        has_duty: Callable[[], bool],
+        is_watcher: Callable[[], bool],
         count_watchers: Callable[[], int],
-        entered: asyncio.Event,
+        registered: asyncio.Event,
         heartbeat_ms: float,
         apply_within_ms: float,
         evacuate_within_ms: float | None,
@@ -99,22 +99,22 @@
         """Take the parts; before ``entered`` is set nobody knows who has the duty."""
         self._store = store
         self._view = view
-        self._news = news
+        self._news = broadcaster
         self._region = region
         self._rng = rng
-        self._has_duty = has_duty
+        self._has_duty = is_watcher
         self._count_watchers = count_watchers
-        self._entered = entered
+        self._entered = registered
         self._followed = [
             FollowedKind(
                 names.STATE_KIND,
-                Followed.STATE,
+                ViewPart.STATE,
                 LONGEST_WATCH_WAIT_MS,
                 apply_within_ms,
             ),
             FollowedKind(
                 names.RUNNERS_KIND,
-                Followed.RUNNERS,
+                ViewPart.RUNNERS,
                 HEARTBEATS_A_WATCH * heartbeat_ms,
                 apply_within_ms,
             ),
@@ -123,14 +123,14 @@
             self._followed.append(
                 FollowedKind(
                     names.EVACUATIONS_KIND,
-                    Followed.EVACUATIONS,
+                    ViewPart.EVACUATIONS,
                     LONGEST_WATCH_WAIT_MS,
                     evacuate_within_ms,
                 )
             )
         self._nudges = {entry.kind: asyncio.Event() for entry in self._followed}
         self._tasks = BackgroundTasks()
-        self._away: set[str] = set()
+        self._unreachable_kinds: set[str] = set()
         self._positions: dict[str, int] = {}
         self._duties: dict[str, bool] = {}
         self._stale: set[str] = set()
@@ -189,7 +189,7 @@
             return  # the store is slow or away; the node asks like any other
 
     def _must_ask(self, followed: FollowedKind) -> bool:
-        if followed.kind in self._away or self._has_duty():
+        if followed.kind in self._unreachable_kinds or self._has_duty():
             return True
         if self._view.knows(followed.part):
             return self._view.is_stale(followed.part)
@@ -220,7 +220,7 @@
             self._take_changes(kind, seen, position)
             await asyncio.sleep(AFTER_NEWS_MS / MS_PER_S)
         elif self._has_duty():
-            self._news.tell()
+            self._news.broadcast()
 
     def _confirm(self, followed: FollowedKind, revision: int) -> None:
         self._positions[followed.kind] = revision
@@ -248,7 +248,7 @@
 
     def _nudge_others(self, kind: str) -> None:
         for other, nudge in self._nudges.items():
-            if other != kind and other not in self._away:
+            if other != kind and other not in self._unreachable_kinds:
                 nudge.set()
 
     def _wait_ms(self, followed: FollowedKind) -> int:
@@ -257,7 +257,7 @@
         After an outage it tells that the store is there again, which decides about
         entries that lapsed meanwhile. A node without the duty only looks once.
         """
-        if followed.kind in self._away or not self._has_duty():
+        if followed.kind in self._unreachable_kinds or not self._has_duty():
             return 0
         even_ms = followed.apply_within_ms / WATCHES_A_BOUND * self._count_watchers()
         wait_ms = min(followed.longest_wait_ms, max(LEAST_WATCH_WAIT_MS, even_ms))
@@ -271,7 +271,7 @@
         if kind == names.EVACUATIONS_KIND:
             orders = tuple(sorted(_decode_order(entry) for entry in entries))
             view = EvacuationView(revision, orders)
-            self._view.take_evacuations(view, source="list")
+            self._view.apply_evacuations(view, source="list")
             return
         records: list[RunnerRecord] = []
         refused: list[RunnerRemoval] = []
@@ -281,10 +281,10 @@
                 records.append(found)
             else:
                 refused.append(found)
-        self._view.take_runners(DirectoryView(revision, tuple(records)), source="list")
+        self._view.apply_runners(DirectoryView(revision, tuple(records)), source="list")
         if refused:
             changes = DirectoryChanges(revision, revision, (), tuple(refused))
-            self._view.take_changes(changes, source="list")
+            self._view.apply_runner_changes(changes, source="list")
 
     def _take_changes(self, kind: str, seen: EntryChanges, position: int) -> None:
         if kind == names.STATE_KIND:
@@ -294,9 +294,11 @@
             return
         if kind == names.EVACUATIONS_KIND:
             orders = _decode_order_changes(seen)
-            self._view.take_evacuation_changes(orders, source="watch")
+            self._view.apply_evacuation_changes(orders, source="watch")
             return
-        self._view.take_changes(self._decode_changes(seen, position), source="watch")
+        self._view.apply_runner_changes(
+            self._decode_changes(seen, position), source="watch"
+        )
 
     def _decode_changes(self, seen: EntryChanges, position: int) -> DirectoryChanges:
         records: dict[str, RunnerRecord] = {}
@@ -327,7 +329,7 @@
         except FormatError as error:
             log_event(Event.SETTINGS_REFUSED, step=error.step, reason=error.reason)
             return
-        self._view.take_state(state, source="store")
+        self._view.apply_state(state, source="store")
 
     def _decode_runner(self, entry: StoredEntry) -> RunnerRecord | RunnerRemoval:
         """Return what an entry says, or the end of what bore its name before."""
@@ -352,15 +354,15 @@
         (self._stale.add if is_stale else self._stale.discard)(kind)
 
     def _note_away(self, kind: str, error: StoreError) -> None:
-        if kind not in self._away:
+        if kind not in self._unreachable_kinds:
             log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
-        self._away.add(kind)
+        self._unreachable_kinds.add(kind)
         self._view.record_store_away()
 
     def _note_back(self, kind: str) -> None:
-        if kind not in self._away:
+        if kind not in self._unreachable_kinds:
             return
-        self._away.discard(kind)
+        self._unreachable_kinds.discard(kind)
         log_event(Event.PLATFORM_BACK, kind=kind)
         self._view.record_store_back()
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/news_cast.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
@@ -24,7 +24,7 @@
 so longer names fit into 1.4 kB as well. Nodes fetch more than that from the sender."""
 
 
-class NewsCast:
+class UpdateBroadcaster:
     """Pass on what the store told, and how sure this node is that it is the newest.
 
     With a watch of its own on each node the calls to the store grow with the fleet: on
@@ -48,9 +48,9 @@
         self._on_newer = on_newer
         socket.handle(StoreNews, self._receive)
 
-    def tell(self, changes: DirectoryChanges | None = None) -> None:
+    def broadcast(self, changes: DirectoryChanges | None = None) -> None:
         """Tell the zone the versions known here, with changes of runners if any."""
-        own = self._membership.own
+        own = self._membership.local_node
         peers = [
             PeerAddress.of(node)
             for node in self._membership.alive(region=own.region)
@@ -59,9 +59,9 @@
         if peers:
             self._socket.send_all(peers, self._news(changes))
 
-    def tell_node(self, node: Node, changes: DirectoryChanges) -> None:
+    def send_to(self, node: Node, changes: DirectoryChanges) -> None:
         """Tell one node, which passes it on to its zone if that is another one."""
-        if node != self._membership.own:
+        if node != self._membership.local_node:
             self._socket.send(PeerAddress.of(node), self._news(changes))
 
     def _news(self, changes: DirectoryChanges | None) -> StoreNews:
@@ -90,13 +90,13 @@
             return
         news: StoreNews = received.message
         is_zone_told = (
-            sender.availability_zone == self._membership.own.availability_zone
+            sender.availability_zone == self._membership.local_node.availability_zone
         )
         changes = _changes_of(news)
         # Also news of a revision that is known: another watcher may know better whether
         # an entry ended or lapsed.
         if _size(changes) and self._view.follows_on(changes):
-            self._view.take_changes(
+            self._view.apply_runner_changes(
                 changes, source=sender.node_id, is_zone_told=is_zone_told
             )
         is_behind = (
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
@@ -7,7 +7,7 @@
 from clementineyoke_core.edge.store_freshness import UNKNOWN_AGES
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.mean_load import LoadShare
-from clementineyoke_core.rumour import NodeState, Rumour
+from clementineyoke_core.membership_update import MembershipUpdate, NodeState
 from clementineyoke_node.peers.peer_socket import PeerAddress
 from clementineyoke_wire.events import Event, log_event
 from clementineyoke_wire.messages import CrashNote, Gossip, PoolLoad, RumourNote
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from clementineyoke_core.edge.store_freshness import StoreAges
-    from clementineyoke_core.mean_load import MeanLoad
+    from clementineyoke_core.mean_load import MeanLoadEstimator
     from clementineyoke_core.membership import Membership
     from clementineyoke_core.node import Node
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
@@ -37,13 +37,13 @@
         *,
         socket: PeerSocket,
         membership: Membership,
-        mean_load: MeanLoad,
+        mean_load: MeanLoadEstimator,
         settings_version: Callable[[], int],
         on_newer_settings: Callable[[Node, int], None],
         on_change: Callable[[], None],
         runners_version: Callable[[], int] = lambda: 0,
         on_newer_runners: Callable[[Node, int], None] | None = None,
-        on_stranger: Callable[[PeerAddress], None] | None = None,
+        on_unknown_peer: Callable[[PeerAddress], None] | None = None,
         store_ages: Callable[[], StoreAges] = lambda: UNKNOWN_AGES,
         on_gossip: Callable[[Node, Gossip], None] = lambda _, __: None,
         crash_notes: Callable[[], list[CrashNote]] = list,
@@ -57,7 +57,7 @@
         self._on_change = on_change
         self._runners_version = runners_version
         self._on_newer_runners = on_newer_runners
-        self._on_stranger = on_stranger
+        self._on_stranger = on_unknown_peer
         self._store_ages = store_ages
         self._on_gossip = on_gossip
         self._crash_notes = crash_notes
@@ -66,7 +66,7 @@
         self._pool_names: dict[int, str] = {}
         socket.handle(Gossip, self._receive)
 
-    def learn_pools(self, pools: set[str]) -> None:
+    def set_pools(self, pools: set[str]) -> None:
         """Take the names of pools, which cross the wire as hashes."""
         self._pool_names = {hash_text(pool): pool for pool in pools}
 
@@ -77,7 +77,7 @@
         if node is None:
             return
         shares: dict[str, LoadShare] = {}
-        if node.region == self._membership.own.region:
+        if node.region == self._membership.local_node.region:
             shares = self._mean_load.begin_round()
         sequence = self._socket.next_ask_id()
         self._pushed[sequence] = (node.node_id, shares)
@@ -101,7 +101,7 @@
         missed = list(self._pushed.values())
         self._pushed.clear()
         for node_id, _ in missed:
-            if self._membership.record_missed(node_id):
+            if self._membership.record_missed_probe(node_id):
                 log_event(Event.NODE_DOWN, node=node_id)
                 self._on_change()
 
@@ -112,7 +112,7 @@
                 self._on_stranger(received.peer)
             return
         gossip: Gossip = received.message
-        if self._membership.record_heard(
+        if self._membership.record_message(
             node.node_id, incarnation=received.incarnation
         ):
             log_event(Event.NODE_BACK, node=node.node_id)
@@ -138,7 +138,7 @@
 
     def _answer(self, node: Node, sequence: int, pushed: dict[str, LoadShare]) -> None:
         shares: dict[str, LoadShare] = {}
-        if node.region == self._membership.own.region:
+        if node.region == self._membership.local_node.region:
             shares = self._mean_load.merge(pushed)
         self._send(node, sequence=sequence, is_reply=True, shares=shares)
 
@@ -152,7 +152,7 @@
         ]
         notes = [
             RumourNote(rumour.node_id, rumour.incarnation, int(rumour.state))
-            for rumour in self._membership.rumours_to_send(receiver=node.node_id)
+            for rumour in self._membership.updates_to_send(receiver=node.node_id)
         ]
         ages = self._store_ages()
         message = Gossip(
@@ -176,8 +176,10 @@
             if note.state not in KNOWN_STATES:
                 # A node of a later version may know more states.
                 continue
-            rumour = Rumour(note.node_id, note.incarnation, NodeState(note.state))
-            changed = self._membership.hear(rumour) or changed
+            rumour = MembershipUpdate(
+                note.node_id, note.incarnation, NodeState(note.state)
+            )
+            changed = self._membership.apply_update(rumour) or changed
         if changed:
             self._on_change()
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
@@ -92,8 +92,8 @@
                 (leaving_nodes if leaves else nodes).append(_to_node(host))
             else:
                 (leaving_runners if leaves else runners).append(_to_runner(host))
-        self._membership.replace_listed(live=nodes, leaving=leaving_nodes)
-        self._table.replace_listed(
+        self._membership.apply_host_list(live=nodes, leaving=leaving_nodes)
+        self._table.apply_host_list(
             live=runners, leaving=leaving_runners, now_ms=self._timers.now_ms()
         )
         self._on_change()
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
@@ -36,23 +36,23 @@
         self._on_change = on_change
         socket.handle(NodeHello, self._receive)
 
-    def greet(self, nodes: Iterable[Node]) -> None:
+    def add_nodes(self, nodes: Iterable[Node]) -> None:
         """Take nodes that were read of and say hello to them."""
         changed = False
         for node in nodes:
-            if node.node_id == self._membership.own.node_id:
+            if node.node_id == self._membership.local_node.node_id:
                 continue
             changed = self._membership.add(node) or changed
             self._send(PeerAddress.of(node), is_reply=False)
         if changed:
             self._on_change()
 
-    def greet_address(self, peer: PeerAddress) -> None:
+    def send_hello(self, peer: PeerAddress) -> None:
         """Say hello to whoever is at an address."""
         self._send(peer, is_reply=False)
 
     def _send(self, peer: PeerAddress, *, is_reply: bool) -> None:
-        own = self._membership.own
+        own = self._membership.local_node
         hello = NodeHello(
             is_reply,
             own.node_id,
@@ -67,7 +67,7 @@
 
     def _receive(self, received: PeerMessage) -> None:
         hello: NodeHello = received.message
-        if hello.node_id == self._membership.own.node_id:
+        if hello.node_id == self._membership.local_node.node_id:
             return
         node = Node(
             hello.node_id,
@@ -79,7 +79,7 @@
             hello.calls_per_s,
         )
         is_new = self._membership.add(node)
-        is_back = self._membership.record_heard(
+        is_back = self._membership.record_message(
             node.node_id, incarnation=received.incarnation
         )
         if not hello.is_reply:
--- a/packages/clementineyoke-node/src/clementineyoke_node/limits/team_limiter.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/limits/team_limiter.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from clementineyoke_core.team_budget import TeamBudget
-from clementineyoke_core.team_purse import TeamPurse
+from clementineyoke_core.team_budget_share import TeamBudgetShare
 from clementineyoke_wire.messages import ShareAsk, ShareReply
 
 if TYPE_CHECKING:
-    from clementineyoke_core.homes import Homes
+    from clementineyoke_core.home_nodes import HomeNodes
     from clementineyoke_core.membership import Membership
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
-    from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+    from clementineyoke_node.settings.settings_replica import SettingsReplica
     from clementineyoke_node.timers.timer_service import TimerService
 
 MOST_TEAMS = 4_096
@@ -26,7 +26,7 @@
     """Whether a request may go on, and when to come back if not."""
 
     is_allowed: bool
-    wait_ms: int
+    retry_after_ms: int
 
 
 class TeamLimiter:
@@ -36,33 +36,33 @@
         self,
         *,
         membership: Membership,
-        homes: Homes,
-        keeper: SettingsKeeper,
+        homes: HomeNodes,
+        settings: SettingsReplica,
         socket: PeerSocket,
         timers: TimerService,
         timeout_ms: float,
     ) -> None:
         self._membership = membership
         self._homes = homes
-        self._keeper = keeper
+        self._keeper = settings
         self._socket = socket
         self._timers = timers
         self._timeout_ms = timeout_ms
-        self._purses: OrderedDict[str, TeamPurse] = OrderedDict()
+        self._purses: OrderedDict[str, TeamBudgetShare] = OrderedDict()
         self._budgets: OrderedDict[str, TeamBudget] = OrderedDict()
         self._fallbacks: OrderedDict[str, TeamBudget] = OrderedDict()
         socket.handle(ShareAsk, self._receive_ask)
 
-    async def spend(self, team_path: str) -> LimitAnswer:
+    async def acquire(self, team_path: str) -> LimitAnswer:
         """Spend one request of the team's budget, asking the home if need be."""
         now_ms = self._timers.now_ms()
         purse = self._purse_of(team_path)
-        if purse.spend_one(now_ms=now_ms):
+        if purse.try_spend(now_ms=now_ms):
             return LimitAnswer(True, 0)
         home_id = self._homes.home_of(f"team{team_path}")
         home = None if home_id is None else self._membership.node(home_id)
-        wanted = purse.tokens_to_ask(now_ms=now_ms)
-        if home is None or home.node_id == self._membership.own.node_id:
+        wanted = purse.tokens_to_request(now_ms=now_ms)
+        if home is None or home.node_id == self._membership.local_node.node_id:
             return self._receive_share(purse, self._grant(team_path, 1))
         ask = ShareAsk(self._socket.next_ask_id(), team_path, wanted)
         try:
@@ -73,10 +73,10 @@
             return self._fall_back(team_path)
         return self._receive_share(purse, reply)
 
-    def _receive_share(self, purse: TeamPurse, reply: ShareReply) -> LimitAnswer:
+    def _receive_share(self, purse: TeamBudgetShare, reply: ShareReply) -> LimitAnswer:
         now_ms = self._timers.now_ms()
-        purse.receive(reply.tokens, now_ms=now_ms)
-        return LimitAnswer(purse.spend_one(now_ms=now_ms), reply.wait_ms)
+        purse.add_tokens(reply.tokens, now_ms=now_ms)
+        return LimitAnswer(purse.try_spend(now_ms=now_ms), reply.wait_ms)
 
     def _fall_back(self, team_path: str) -> LimitAnswer:
         budget = self._budget_in(self._fallbacks, team_path, divisor=FALLBACK_SHARE)
@@ -93,8 +93,8 @@
         reply = self._grant(ask.team, max(1, ask.tokens))
         self._socket.send(received.peer, reply._replace(ask_id=ask.ask_id))
 
-    def _purse_of(self, team_path: str) -> TeamPurse:
-        purse = self._purses.setdefault(team_path, TeamPurse())
+    def _purse_of(self, team_path: str) -> TeamBudgetShare:
+        purse = self._purses.setdefault(team_path, TeamBudgetShare())
         _touch(self._purses, team_path)
         return purse
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -13,8 +13,8 @@
 from clementineyoke_node.peers.peer_socket import PeerAddress, PeerSocket
 from clementineyoke_node.runners.runner_client import RunnerClient
 from clementineyoke_node.runners.runner_prober import RunnerProber
-from clementineyoke_node.settings.peer_changes import HttpPeerChanges
-from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+from clementineyoke_node.settings.peer_settings import HttpPeerSettings
+from clementineyoke_node.settings.settings_replica import SettingsReplica
 from clementineyoke_node.slots.slot_broker import SlotBroker
 from clementineyoke_node.slots.slot_home import SlotHome
 from clementineyoke_node.timers.background_tasks import BackgroundTasks
@@ -60,9 +60,9 @@
         self.prober = RunnerProber(
             table=state.table, client=self.client, timers=self.timers
         )
-        self.keeper = SettingsKeeper(
+        self.keeper = SettingsReplica(
             objects=self.platform,
-            peers=HttpPeerChanges(seal=state.seal),
+            peers=HttpPeerSettings(seal=state.seal),
             has_watch_duty=state.has_watch_duty,
             has_snapshot_duty=state.has_snapshot_duty,
         )
@@ -95,7 +95,7 @@
         moved = self._state.take_hosts()
         self.slot_home.rebuild()
         pools = {entry.runner.pool for entry in self._state.table.entries()}
-        self.gossiper.learn_pools(pools)
+        self.gossiper.set_pools(pools)
         if moved:
             # New homes know nothing of what already runs until they are told.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
@@ -130,7 +130,7 @@
             socket=self.socket,
             shards=config.claim_shards,
             batch_ms=config.claim_batch_ms,
-            patience_ms=config.claim_timeout_ms,
+            timeout_ms=config.claim_timeout_ms,
         )
         self.claims = ClaimClient(
             membership=state.membership,
@@ -149,7 +149,7 @@
             membership=state.membership,
             mean_load=state.mean_load,
             settings_version=lambda: self.keeper.log.version,
-            on_newer_settings=self.keeper.hear_of_newer,
+            on_newer_settings=self.keeper.fetch_newer,
             on_change=self.apply_hosts,
         )
         self.hosts = HostWatcher(
@@ -166,7 +166,7 @@
             ("gossip", gossip_ms, self.gossiper.run_round),
             ("renew", RENEWAL_INTERVAL_MS, self.broker.renew),
             ("expire", EXPIRY_INTERVAL_MS, self.slot_home.expire),
-            ("waiting", SERVE_WAITING_INTERVAL_MS, self.slot_home.serve_all_waiting),
+            ("waiting", SERVE_WAITING_INTERVAL_MS, self.slot_home.serve_queues),
             ("probe", PROBE_INTERVAL_MS, self.prober.run_round),
             ("poll", SETTINGS_POLL_MS, self.keeper.poll),
             ("snapshot", SNAPSHOT_INTERVAL_MS, self.keeper.write_snapshot),
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
@@ -86,7 +86,7 @@
     def _make_admin(self) -> web.Application:
         state, io = self.state, self.io
         writer = SettingsWriter(
-            objects=io.platform, keeper=io.keeper, author_node=self.config.node_id
+            objects=io.platform, settings=io.keeper, author_node=self.config.node_id
         )
         admin = AdminApi(
             key_hashes=self.config.admin_key_hashes,
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -7,8 +7,8 @@
 
 from clementineyoke_core.cold_runners import ColdRunners
 from clementineyoke_core.edge.call_rate import CallRate
-from clementineyoke_core.homes import Homes
-from clementineyoke_core.mean_load import MeanLoad
+from clementineyoke_core.home_nodes import HomeNodes
+from clementineyoke_core.mean_load import MeanLoadEstimator
 from clementineyoke_core.membership import Membership
 from clementineyoke_core.node import Node
 from clementineyoke_core.pool_rings import PoolRings
@@ -50,19 +50,21 @@
         )
         incarnation = TimerService.wall_ms() // MS_PER_S
         self.rng = Random()
-        self.membership = Membership(own=own, incarnation=incarnation, rng=self.rng)
+        self.membership = Membership(
+            local_node=own, incarnation=incarnation, rng=self.rng
+        )
         self.table = RunnerTable()
         self.cold = ColdRunners()
         self.rings = PoolRings(table=self.table, region=config.region)
         self.region_homes = RunnerHomes()
         """Homes of runners: in the region, where an answer takes a millisecond."""
-        self.fleet_homes = Homes()
+        self.fleet_homes = HomeNodes()
         """Homes of budgets and claims, which are the same for all regions.
 
         With a home in each region a team would get its rate once a region, and the
         homes of one claim shard would refuse each other's writes.
         """
-        self.mean_load = MeanLoad()
+        self.mean_load = MeanLoadEstimator()
         self.call_rate = CallRate()
         self.ledger = SlotLedger()
         self.seal = Seal(keys=config.peer_keys)
@@ -77,8 +79,8 @@
         """Work out rings and homes anew; return whether runners' homes moved."""
         self.rings.rebuild()
         self._watchers = choose_watchers(self.membership.alive())
-        self.fleet_homes.replace_nodes(self._alive_ids(region=None))
-        return self.region_homes.replace(
+        self.fleet_homes.set_nodes(self._alive_ids(region=None))
+        return self.region_homes.reassign(
             nodes=self._alive_ids(region=self.config.region),
             pools=self.table.by_pool(region=self.config.region),
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
@@ -14,11 +14,11 @@
     members = state.membership
     return {
         "node": state.config.node_id,
-        "started": members.started,
+        "started": members.initial_incarnation,
         "leaving": is_leaving,
         "settings_version": io.keeper.log.version,
         "in_flight": state.in_flight.count,
-        "slots_held": io.broker.held(),
+        "slots_held": io.broker.lease_count(),
         "claim_writes": io.claim_home.writes,
         "control_sent_bytes": dict(io.socket.sent_bytes),
         "control_received_bytes": io.socket.received_bytes,
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from clementineyoke_core.edge.crash_records import MOST_NAMED
-from clementineyoke_core.edge.node_capacity import MOST_CALLS_PER_S
+from clementineyoke_core.edge.crash_records import MAX_NAMED_RUNNERS
+from clementineyoke_core.edge.node_capacity import MAX_CALLS_PER_S
 from clementineyoke_core.edge.request_digest import DIGEST_BYTES
 from clementineyoke_core.edge.runner_record import RunnerRecord
 from clementineyoke_core.node import Node
@@ -124,7 +124,7 @@
         IPv4Address(spec.address)
         _check_range(spec.caller_port, 1, LAST_PORT)
         _check_range(spec.peer_port, 1, LAST_PORT)
-        _check_range(spec.calls_per_s, 0, MOST_CALLS_PER_S)
+        _check_range(spec.calls_per_s, 0, MAX_CALLS_PER_S)
     except ValueError as error:
         raise FormatError(
             step="decode_node", peer=entry.name, reason=str(error)
@@ -163,7 +163,7 @@
         ) from error
     # The clock of who wrote it may be ahead of the one here.
     age_ms = min(MOST_COUNTED, max(0, wall_ms - spec.ended_at))
-    return CrashNote(digest, 0, spec.crashes, spec.runners[:MOST_NAMED], age_ms)
+    return CrashNote(digest, 0, spec.crashes, spec.runners[:MAX_NAMED_RUNNERS], age_ms)
 
 
 def split_address(text: str) -> tuple[str, int]:
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
@@ -60,7 +60,7 @@
         objective_ms=float(route.get("targetLatencyMs") or route["timeoutMs"]),
         pause_objective_ms=float(route.get("gapAimMs") or 0),
         priority=int(route.get("priority") or 0),
-        most_runners=max(1, int(route.get("maxAttempts") or 1)),
+        max_runners=max(1, int(route.get("maxAttempts") or 1)),
         is_public=bool(route.get("public")),
         is_resumable=bool(route.get("resumable")),
         # "sticky" says no more than that calls carry a prompt; where they go is ours.
@@ -104,8 +104,8 @@
 def _decode_limits(limits: dict[str, Any]) -> CallerLimits:
     known = CallerLimits()
     return CallerLimits(
-        header_bytes=int(limits.get("maxHeaderBytes") or known.header_bytes),
-        body_bytes=int(limits.get("maxBodyBytes") or known.body_bytes),
+        max_header_bytes=int(limits.get("maxHeaderBytes") or known.max_header_bytes),
+        max_body_bytes=int(limits.get("maxBodyBytes") or known.max_body_bytes),
         header_timeout_ms=float(
             limits.get("headerTimeoutMs") or known.header_timeout_ms
         ),
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_changes.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
@@ -45,7 +45,7 @@
     return seal.sign(msgspec.msgpack.encode(snapshot))
 
 
-class HttpPeerChanges:
+class HttpPeerSettings:
     """Ask a peer's operator port; answers are sealed like datagrams."""
 
     def __init__(self, *, seal: Seal) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_keeper.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
@@ -51,7 +51,7 @@
     return f"{CHANGES_PREFIX}{version:0{VERSION_DIGITS}d}"
 
 
-class SettingsKeeper:
+class SettingsReplica:
     """Own the log and the watch; everything that learns a change goes through here."""
 
     def __init__(
@@ -93,7 +93,7 @@
                 )
                 self.ready.set()
 
-    def hear_of_newer(self, node: Node, version: int) -> None:
+    def fetch_newer(self, node: Node, version: int) -> None:
         """Fetch from a peer that named a newer version, one fetch a peer at a time."""
         if version <= self.log.version or node.node_id in self._fetching:
             return
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
@@ -11,19 +11,19 @@
     decode_change,
     encode_change,
 )
-from clementineyoke_core.settings.validation import find_faults
+from clementineyoke_core.settings.validation import find_violations
 from clementineyoke_node.objects.object_api import NO_OBJECT
 from clementineyoke_node.objects.platform_error import (
     PlatformError,
     VersionConflictError,
 )
 from clementineyoke_node.settings.settings_error import SettingsError
-from clementineyoke_node.settings.settings_keeper import change_name
+from clementineyoke_node.settings.settings_replica import change_name
 
 if TYPE_CHECKING:
     from clementineyoke_core.settings.validation import Values
     from clementineyoke_node.objects.object_api import ObjectApi
-    from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+    from clementineyoke_node.settings.settings_replica import SettingsReplica
     from clementineyoke_wire.bodies import SettingsChangeBody
 
 LARGEST_CHANGE_BYTES = 900_000
@@ -43,15 +43,15 @@
     """Check, compare and commit what an operator wants."""
 
     def __init__(
-        self, *, objects: ObjectApi, keeper: SettingsKeeper, author_node: str
+        self, *, objects: ObjectApi, settings: SettingsReplica, author_node: str
     ) -> None:
         self._objects = objects
-        self._keeper = keeper
+        self._keeper = settings
         self._author_node = author_node
 
     def diff(self, body: SettingsChangeBody) -> list[PathDiff]:
         """Return what would change; raises ``SettingsError`` if it is not valid."""
-        faults = find_faults(body["edits"])
+        faults = find_violations(body["edits"])
         if faults:
             raise SettingsError(
                 step="validate",
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
@@ -9,7 +9,7 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from clementineyoke_core.slot_ledger import SlotGrant, SlotHold, SlotRefusal
+from clementineyoke_core.slot_ledger import SlotGrant, SlotHolder, SlotRefusal
 from clementineyoke_core.slot_search import SlotAttempt, SlotSearch
 from clementineyoke_node.peers.peer_socket import PeerAddress
 from clementineyoke_node.slots.slot_lease import PassedOver, SlotLease
@@ -33,7 +33,7 @@
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.peers.peer_socket import PeerSocket
     from clementineyoke_node.slots.slot_home import SlotHome
-    from clementineyoke_node.slots.slot_wish import SlotWish
+    from clementineyoke_node.slots.slot_request import SlotRequest
 
 
 MS_PER_S = 1000.0
@@ -58,7 +58,7 @@
     ) -> None:
         """Take the parts; ``is_cold`` tells which runners bear few calls for now."""
         self._membership = membership
-        self._own_id = membership.own.node_id
+        self._own_id = membership.local_node.node_id
         self._table = table
         self._rings = rings
         self._homes = homes
@@ -70,7 +70,7 @@
         self._last_in_use: dict[str, int] = {}
         self._answered: set[int] = set()
 
-    async def acquire(self, wish: SlotWish) -> SlotLease | None:
+    async def acquire(self, wish: SlotRequest) -> SlotLease | None:
         """Return a lease on the first runner that grants one.
 
         The preferred runner, if it is ready and of the pool, is asked before the
@@ -83,12 +83,12 @@
             first = first or attempt
             runner = self._runner_of(attempt)
             if runner is None:
-                search.record_silence(attempt)
+                search.record_timeout(attempt)
                 continue
             ask_id = self._socket.next_ask_id()
             answer = await self._ask(runner, attempt, ask_id, wish.load_factor)
             if answer is None:
-                search.record_silence(attempt)
+                search.record_timeout(attempt)
             elif is_successful(answer):
                 reason = "affinity" if attempt.rank == 0 else "displaced"
                 lease = self._keep(
@@ -106,7 +106,7 @@
                     attempt, in_use=refusal.in_use, is_held=refusal.is_held
                 )
         last_choice = search.fallback(
-            self._last_in_use, may_take=self._may_take_uncounted
+            self._last_in_use, is_eligible=self._may_take_uncounted
         )
         if last_choice is not None:
             runner = self._runner_of(last_choice)
@@ -118,15 +118,15 @@
             return None
         return await self._wait(first, wish)
 
-    def has_open(self, pool: str) -> bool:
+    def has_available_runner(self, pool: str) -> bool:
         """Whether any runner of a pool takes new calls."""
-        return self.has_other(pool, set())
+        return self.has_untried_runner(pool, set())
 
     def backoff_left_ms(self, pool: str, *, now_ms: float) -> float:
         """Return the shortest time left to back off from a runner of a pool, or 0."""
-        return self._table.backoff_left_ms(pool, now_ms=now_ms)
+        return self._table.backoff_remaining_ms(pool, now_ms=now_ms)
 
-    def has_other(self, pool: str, tried: set[str]) -> bool:
+    def has_untried_runner(self, pool: str, tried: set[str]) -> bool:
         """Whether a pool has a ready runner besides those that were tried."""
         return any(runner_id not in tried for runner_id in self._rings.order(pool, 0))
 
@@ -146,7 +146,7 @@
         finally:
             self._release(lease)
 
-    def note_answered(self, lease: SlotLease) -> None:
+    def record_answered(self, lease: SlotLease) -> None:
         """Note that the runner answered; its home is told with the slot's release."""
         self._answered.add(lease.ask_id)
 
@@ -170,7 +170,7 @@
         """Return the zones that were passed over, with the orders' revisions."""
         return self._table.evacuated_zones()
 
-    def held(self) -> int:
+    def lease_count(self) -> int:
         """Return how many slots this node's requests hold."""
         return len(self._leases)
 
@@ -231,7 +231,7 @@
             return Success(SlotGrant(runner_id, reply.in_use))
         return Failure(SlotRefusal(runner_id, reply.in_use, reply.is_held))
 
-    def _make_search(self, wish: SlotWish) -> SlotSearch:
+    def _make_search(self, wish: SlotRequest) -> SlotSearch:
         order = (
             runner_id
             for runner_id in self._rings.order(wish.pool, wish.key)
@@ -242,7 +242,7 @@
             preferred = None
         return SlotSearch(order=order, preferred=preferred)
 
-    async def _wait(self, attempt: SlotAttempt, wish: SlotWish) -> SlotLease | None:
+    async def _wait(self, attempt: SlotAttempt, wish: SlotRequest) -> SlotLease | None:
         runner = self._runner_of(attempt)
         home = self._home_of(attempt.runner_id)
         if home is None or runner is None:
@@ -263,7 +263,7 @@
             return None
         return self._keep(runner, attempt, ask_id, reason="waited")
 
-    async def _wait_here(self, runner_id: str, ask_id: int, wish: SlotWish) -> bool:
+    async def _wait_here(self, runner_id: str, ask_id: int, wish: SlotRequest) -> bool:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
 
@@ -282,7 +282,7 @@
         return await asyncio.wait_for(future, wish.wait_ms / MS_PER_S)
 
     async def _wait_at(
-        self, home: Node, runner: Runner, ask_id: int, wish: SlotWish
+        self, home: Node, runner: Runner, ask_id: int, wish: SlotRequest
     ) -> bool:
         ask = SlotAsk(
             ask_id,
@@ -298,15 +298,15 @@
         return reply.granted
 
     def _explain_passed(
-        self, search: SlotSearch, wish: SlotWish, runner: Runner
+        self, search: SlotSearch, wish: SlotRequest, runner: Runner
     ) -> tuple[PassedOver, ...]:
         held = tuple(
             PassedOver(
                 runner_id, "paused" if self._may_take_uncounted(runner_id) else "cold"
             )
-            for runner_id in search.held_back()
+            for runner_id in search.held_runner_ids()
         )
-        closed = self._rings.closed_before(wish.pool, wish.key, runner.runner_id)
+        closed = self._rings.unavailable_before(wish.pool, wish.key, runner.runner_id)
         return held + tuple(PassedOver(*one) for one in closed)
 
     def _keep(
@@ -370,5 +370,5 @@
         home_id = self._homes.home_of(runner_id)
         return None if home_id is None else self._membership.node(home_id)
 
-    def _own_hold(self, ask_id: int) -> SlotHold:
-        return SlotHold(self._own_id, ask_id)
+    def _own_hold(self, ask_id: int) -> SlotHolder:
+        return SlotHolder(self._own_id, ask_id)
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
@@ -7,14 +7,14 @@
 from returns.pipeline import is_successful
 from returns.result import Failure
 
-from clementineyoke_core.cold_pace import ColdPace
+from clementineyoke_core.cold_runner_pacer import ColdRunnerPacer
 from clementineyoke_core.cold_runners import ColdRunners
-from clementineyoke_core.fault_share import FaultShare
-from clementineyoke_core.load_bound import DEFAULT_BOUND, LoadBound, bound_by_home
-from clementineyoke_core.reachability import Reachability
+from clementineyoke_core.fault_rate_breaker import FaultRateBreaker
+from clementineyoke_core.load_bound import DEFAULT_BOUND, LoadBound, compute_home_bound
+from clementineyoke_core.reachability_breaker import ReachabilityBreaker
 from clementineyoke_core.runner_state import RunnerState
-from clementineyoke_core.slot_ledger import SlotGrant, SlotHold, SlotRefusal
-from clementineyoke_core.slot_queue import SlotQueue, WaitingAsk
+from clementineyoke_core.slot_ledger import SlotGrant, SlotHolder, SlotRefusal
+from clementineyoke_core.slot_queue import QueuedRequest, SlotQueue
 from clementineyoke_wire.events import Event, log_event
 from clementineyoke_wire.messages import (
     RunnerFault,
@@ -29,7 +29,7 @@
 
     from returns.result import Result
 
-    from clementineyoke_core.mean_load import MeanLoad
+    from clementineyoke_core.mean_load import MeanLoadEstimator
     from clementineyoke_core.runner_homes import RunnerHomes
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_core.slot_ledger import SlotLedger
@@ -51,16 +51,16 @@
         ledger: SlotLedger,
         table: RunnerTable,
         homes: RunnerHomes,
-        mean_load: MeanLoad,
+        mean_load: MeanLoadEstimator,
         socket: PeerSocket,
         timers: TimerService,
-        cold: ColdRunners | None = None,
+        cold_runners: ColdRunners | None = None,
         load_bound: LoadBound = DEFAULT_BOUND,
     ) -> None:
-        self._faults = FaultShare()
-        self._reachability = Reachability()
-        self._cold = cold or ColdRunners()
-        self._cold_pace = ColdPace()
+        self._faults = FaultRateBreaker()
+        self._reachability = ReachabilityBreaker()
+        self._cold = cold_runners or ColdRunners()
+        self._cold_pace = ColdRunnerPacer()
         self._load_bound = load_bound
         self._own_id = own_id
         self._ledger = ledger
@@ -73,7 +73,7 @@
         self._lifetimes: dict[str, str] = {}
         self._homed: dict[str, list[str]] = {}
         self._queues: dict[str, SlotQueue] = {}
-        self._answers: dict[SlotHold, Callable[[bool], None]] = {}
+        self._answers: dict[SlotHolder, Callable[[bool], None]] = {}
         socket.handle(SlotAsk, self._receive_ask)
         socket.handle(SlotRelease, self._receive_release)
         socket.handle(SlotRenewal, self._receive_renewal)
@@ -101,7 +101,7 @@
     def ask(
         self,
         runner_id: str,
-        hold: SlotHold,
+        hold: SlotHolder,
         *,
         seen_mean: float,
         load_factor: float = 0.0,
@@ -117,7 +117,7 @@
             in_use = self._ledger.in_use(runner_id)
             return Failure(SlotRefusal(runner_id, in_use, is_held=True))
         bound = self._bound(runner_id, seen_mean, load_factor)
-        result = self._ledger.ask(runner_id, hold, bound=bound, now_ms=now_ms)
+        result = self._ledger.acquire(runner_id, hold, bound=bound, now_ms=now_ms)
         if is_successful(result):
             self._faults.record_call(runner_id, now_ms=now_ms)
             self._note_pace(runner_id, now_ms)
@@ -127,7 +127,7 @@
     def wait(
         self,
         runner_id: str,
-        hold: SlotHold,
+        hold: SlotHolder,
         *,
         team: int,
         priority: int,
@@ -136,15 +136,15 @@
     ) -> None:
         """Let an ask wait; it is answered once, unless its holder gives up first."""
         gives_up_ms = self._timers.now_ms() + wait_ms
-        ask = WaitingAsk(hold, team, priority, gives_up_ms)
+        ask = QueuedRequest(hold, team, priority, gives_up_ms)
         queue = self._queues.setdefault(runner_id, SlotQueue())
-        self._answers[ask.hold] = on_answer
+        self._answers[ask.holder] = on_answer
         turned_away = queue.add(ask)
         if turned_away is not None:
-            self._answer_waiting(turned_away.hold, granted=False)
+            self._answer_waiting(turned_away.holder, granted=False)
         self._serve_waiting(runner_id)
 
-    def release(self, runner_id: str, hold: SlotHold) -> None:
+    def release(self, runner_id: str, hold: SlotHolder) -> None:
         """Take a slot back, or a waiting ask out of the queue."""
         queue = self._queues.get(runner_id)
         if queue is not None and queue.remove(hold):
@@ -153,7 +153,7 @@
         self._report_runner(runner_id)
         self._serve_waiting(runner_id)
 
-    def renew(self, runner_id: str, hold: SlotHold) -> None:
+    def renew(self, runner_id: str, hold: SlotHolder) -> None:
         """Keep or adopt a grant."""
         self._ledger.renew(runner_id, hold, now_ms=self._timers.now_ms())
         self._report_runner(runner_id)
@@ -184,7 +184,7 @@
             for runner_id in runner_ids
         }
 
-    async def serve_all_waiting(self) -> None:
+    async def serve_queues(self) -> None:
         """Serve queues whose bound has risen with the mean."""
         for runner_id in list(self._queues):
             self._serve_waiting(runner_id)
@@ -201,10 +201,10 @@
         ) or self._reachability.is_paused(runner_id, now_ms=now_ms)
 
     def _forget(self, runner_id: str) -> None:
-        self._ledger.forget(runner_id)
-        self._faults.forget(runner_id)
-        self._reachability.forget(runner_id)
-        self._cold_pace.forget(runner_id)
+        self._ledger.remove_runner(runner_id)
+        self._faults.remove_runner(runner_id)
+        self._reachability.remove_runner(runner_id)
+        self._cold_pace.remove_runner(runner_id)
 
     def _bears_call(self, runner_id: str, now_ms: float) -> bool:
         """Whether a runner that may be cold bears one more call now."""
@@ -245,8 +245,8 @@
             if ask is None:
                 break
             self._note_pace(runner_id, now_ms)
-            self.renew(runner_id, ask.hold)
-            self._answer_waiting(ask.hold, granted=True)
+            self.renew(runner_id, ask.holder)
+            self._answer_waiting(ask.holder, granted=True)
         if not len(queue):
             del self._queues[runner_id]
 
@@ -255,7 +255,7 @@
             return False
         return self._ledger.in_use(runner_id) < self._bound(runner_id)
 
-    def _answer_waiting(self, hold: SlotHold, *, granted: bool) -> None:
+    def _answer_waiting(self, hold: SlotHolder, *, granted: bool) -> None:
         answer = self._answers.pop(hold, None)
         if answer is not None:
             answer(granted)
@@ -275,7 +275,7 @@
             # The last ask of a search is for any room, also for a call that gives way.
             least = load_bound.factor if seen_mean > 0.0 else 0.0
             load_bound = load_bound._replace(factor=max(least, load_factor))
-        return bound_by_home(
+        return compute_home_bound(
             estimated_mean=self._mean_load.mean(entry.runner.pool),
             seen_mean=seen_mean,
             slots=entry.runner.slots,
@@ -314,7 +314,7 @@
         if runner_id is None:
             self._socket.send(received.peer, SlotReply(ask.ask_id, False, 0))
             return
-        hold = SlotHold(str(received.peer), ask.ask_id)
+        hold = SlotHolder(str(received.peer), ask.ask_id)
         if ask.wait_ms:
             self._queue_remote(received.peer, runner_id, hold, ask)
             return
@@ -329,7 +329,7 @@
         self._socket.send(received.peer, reply)
 
     def _queue_remote(
-        self, peer: PeerAddress, runner_id: str, hold: SlotHold, ask: SlotAsk
+        self, peer: PeerAddress, runner_id: str, hold: SlotHolder, ask: SlotAsk
     ) -> None:
         def answer(granted: bool) -> None:
             in_use = self._ledger.in_use(runner_id)
@@ -351,7 +351,7 @@
             return
         if release.is_answered:
             self.record_answer(runner_id)
-        self.release(runner_id, SlotHold(str(received.peer), release.ask_id))
+        self.release(runner_id, SlotHolder(str(received.peer), release.ask_id))
 
     def _receive_fault(self, received: PeerMessage) -> None:
         fault: RunnerFault = received.message
@@ -369,4 +369,4 @@
         if runner_id is None:
             return
         for ask_id in renewal.ask_ids:
-            self.renew(runner_id, SlotHold(str(received.peer), ask_id))
+            self.renew(runner_id, SlotHolder(str(received.peer), ask_id))
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_wish.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_request.py
@@ -8,7 +8,7 @@
     from collections.abc import Collection
 
 
-class SlotWish(NamedTuple):
+class SlotRequest(NamedTuple):
     """A pool, a key to order its runners by, and how long to wait for one."""
 
     pool: str
--- a/packages/clementineyoke-node/tests/steps/caller_steps.py
+++ b/packages/clementineyoke-node/tests/steps/caller_steps.py
@@ -304,7 +304,7 @@
 @then("no slot is held")
 def check_no_slot(context):
     async def is_free():
-        return context.fleet.node.io.broker.held() == 0
+        return context.fleet.node.io.broker.lease_count() == 0
 
     context.run(context.fleet.until(is_free))
     assert sum(context.fleet.node.io.slot_home.loads().values()) == 0
--- a/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
+++ b/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
@@ -36,7 +36,7 @@
         for runner in context.cold:
             runner.cold_until_s = time.monotonic() + COLD_MS / 1000
             runner.cold_calls_per_s = BEARS_PER_S
-            await fleet.list_runner(runner, cold_ms=COLD_MS)
+            await fleet.register_runner(runner, cold_ms=COLD_MS)
         await wait_until(lambda: knows_cold(fleet, len(context.cold)), 3)
 
     context.run(turn_cold())
@@ -67,7 +67,7 @@
         "non_idempotent",
         number=number % len(fleet.nodes) if node is None else node,
         call_id=f"call-{number}",
-        session=fleet.many_callers,
+        session=fleet.concurrent_session,
     )
 
 
@@ -95,7 +95,7 @@
     async def run():
         for runner in context.cold:
             runner.cold_until_s = 0.0
-            await context.fleet.list_runner(runner)
+            await context.fleet.register_runner(runner)
         await wait_until(lambda: knows_cold(context.fleet, 0), 3)
 
     context.run(run())
--- a/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
+++ b/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
@@ -41,7 +41,7 @@
         await asyncio.sleep(BACK_S)
         await runner.start()
         context.born_ms += 1
-        await context.fleet.list_runner(runner, born_ms=context.born_ms)
+        await context.fleet.register_runner(runner, born_ms=context.born_ms)
 
     context.restarts.append(asyncio.ensure_future(act()))
 
@@ -76,7 +76,7 @@
             number=number,
             call_id=call_id,
             data=body,
-            session=context.fleet.many_callers,
+            session=context.fleet.concurrent_session,
         )
     except aiohttp.ClientError:
         status, headers = None, {}
@@ -139,7 +139,7 @@
 @when("{length:d} s have passed for what the nodes remember")
 def pass_time(context, length):
     for node in context.fleet.nodes:
-        records = node.io.crashes._records
+        records = node.io.crash_tracker._records
         for digest, record in list(records._records.items()):
             older = record._replace(last_ms=record.last_ms - 1000 * length)
             records._records[digest] = older
@@ -221,7 +221,7 @@
         number=name % 2,
         call_id=f"stream-{name}",
         data=body,
-        session=context.fleet.many_callers,
+        session=context.fleet.concurrent_session,
     )
     return status, text
 
@@ -344,7 +344,7 @@
 
 async def end_leaving_one(context, leaving):
     calls = await stand_on(context, [leaving])
-    await context.fleet.list_runner(leaving, state="draining")
+    await context.fleet.register_runner(leaving, state="draining")
     table = context.fleet.nodes[0].state.table
     await wait_until(lambda: not table.is_ready(leaving.runner_id), 2)
     leaving.crash()
--- a/packages/clementineyoke-node/tests/steps/edge_fleet.py
+++ b/packages/clementineyoke-node/tests/steps/edge_fleet.py
@@ -25,7 +25,7 @@
 KEY = "key-one"
 TEAM = "team-one"
 POOL = "pool"
-CALL_ID = "X-Attempt-Id"
+CALL_ID_HEADER = "X-Attempt-Id"
 
 
 def make_route(kind, *, runners=2, resumable=False, **changes):
@@ -74,7 +74,7 @@
         self.store_address = f"{STORE_HOST}:{store_port}"
         for standin in self.runners:
             await self._stack.enter_async_context(standin)
-            await self.list_runner(standin)
+            await self.register_runner(standin)
         await self.put_state(
             make_route("idempotent"),
             make_route("non_idempotent", runners=1),
@@ -84,7 +84,7 @@
         self.session = await self._stack.enter_async_context(
             aiohttp.ClientSession(connector=connector)
         )
-        self.many_callers = await self._stack.enter_async_context(
+        self.concurrent_session = await self._stack.enter_async_context(
             aiohttp.ClientSession()
         )
         for number in range(self._count):
@@ -99,7 +99,7 @@
     def zone_of(self, standin):
         return self.zones[self.runners.index(standin) % len(self.zones)]
 
-    async def list_runner(self, standin, state="ready", *, born_ms=None, cold_ms=0):
+    async def register_runner(self, standin, state="ready", *, born_ms=None, cold_ms=0):
         address = f"{STORE_HOST}:{standin.port}"
         spec = runner_spec(
             pool=POOL,
@@ -171,7 +171,7 @@
     ):
         fields = {
             "Host": HOSTNAME,
-            CALL_ID: call_id,
+            CALL_ID_HEADER: call_id,
             "X-Deadline-Ms": "2000",
             "Authorization": f"Token {KEY}",
             **(headers or {}),
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -14,7 +14,7 @@
 import aiohttp
 import msgspec
 from behave import given, then, when
-from edge_fleet import CALL_ID, KEY, EdgeFleet, make_route
+from edge_fleet import CALL_ID_HEADER, KEY, EdgeFleet, make_route
 
 from clementineyoke_node.config.settings_file import SettingsFile, wait_for_config
 from clementineyoke_node.edge.store_watcher import StoreWatcher
@@ -147,8 +147,8 @@
     async def call():
         fields = [
             ("Host", "shop.example"),
-            (CALL_ID, "one"),
-            (CALL_ID, "two"),
+            (CALL_ID_HEADER, "one"),
+            (CALL_ID_HEADER, "two"),
             ("Authorization", f"Token {KEY}"),
         ]
         url = context.fleet.url(0, 0, "/idempotent/x")
@@ -207,7 +207,7 @@
 def check_seen(context):
     (call,) = context.fleet.calls()
     fields = call.fields
-    assert fields[CALL_ID.lower()] == "call-1"
+    assert fields[CALL_ID_HEADER.lower()] == "call-1"
     assert fields["x-tenant"] == "team-one"
     assert fields["x-target-instance"].startswith("runner-")
     assert 0 < int(fields["x-deadline-ms"]) <= 2000
@@ -302,7 +302,7 @@
     view = context.fleet.nodes[0].io.view
 
     async def act():
-        view.take_state(
+        view.apply_state(
             decode_state(msgspec.json.encode(spec), revision=1), source="peer"
         )
 
@@ -336,7 +336,7 @@
 @when("the second node is told to stop")
 def stop_second(context):
     async def act():
-        context.fleet.nodes[1].order_stop()
+        context.fleet.nodes[1].request_stop()
         await asyncio.sleep(0.02)
         url = context.fleet.url(1, 1, "/v1/readyz")
         async with context.fleet.session.get(url) as response:
@@ -366,7 +366,7 @@
     async def act():
         call = asyncio.ensure_future(context.fleet.call("streaming"))
         await asyncio.sleep(0.2)
-        context.fleet.nodes[0].order_stop()
+        context.fleet.nodes[0].request_stop()
         return await call
 
     context.answer = context.run(act())
@@ -385,10 +385,11 @@
         reader, writer = await asyncio.open_connection("127.0.0.2", fleet.ports[0])
         stream = asyncio.ensure_future(fleet.call("streaming"))
         await asyncio.sleep(0.2)
-        fleet.nodes[0].order_stop()
+        fleet.nodes[0].request_stop()
         await asyncio.sleep(0.2)
         head = (
-            f"GET /idempotent/x HTTP/1.1\r\nHost: shop.example\r\n{CALL_ID}: c\r\n\r\n"
+            "GET /idempotent/x HTTP/1.1\r\nHost: shop.example\r\n"
+            f"{CALL_ID_HEADER}: c\r\n\r\n"
         )
         writer.write(head.encode())
         try:
@@ -414,10 +415,10 @@
         fleet = context.fleet
         fleet.store.fault = StoreFault.BUSY
         watcher = fleet.nodes[0].io.store_watcher
-        await wait_until(lambda: "servers" in watcher._away, 5)
+        await wait_until(lambda: "servers" in watcher._unreachable_kinds, 5)
         await fleet.store.remove("servers", "runner-0")
         fleet.store.fault = None
-        await wait_until(lambda: not watcher._away, 3)
+        await wait_until(lambda: not watcher._unreachable_kinds, 3)
         return await fleet.call("idempotent")
 
     context.answer = context.run(act())
@@ -472,12 +473,12 @@
     watcher = StoreWatcher(
         store=io.store,
         view=io.view,
-        news=io.news,
+        broadcaster=io.broadcaster,
         region="region",
         rng=Random(1),
-        has_duty=lambda: True,
+        is_watcher=lambda: True,
         count_watchers=lambda: 60,
-        entered=io.roster.entered,
+        registered=io.registration.registered,
         heartbeat_ms=1_200,
         apply_within_ms=2_000,
         evacuate_within_ms=None,
--- a/packages/clementineyoke-node/tests/steps/evacuation_steps.py
+++ b/packages/clementineyoke-node/tests/steps/evacuation_steps.py
@@ -52,54 +52,56 @@
 @when("it is told the desired state and the runners")
 def tell_state(context):
     spec = msgspec.json.encode(make_state(1, make_route("idempotent")))
-    context.view.take_state(decode_state(spec, revision=1), source="peer")
-    context.view.take_runners(DirectoryView(2, ()), source="peer")
+    context.view.apply_state(decode_state(spec, revision=1), source="peer")
+    context.view.apply_runners(DirectoryView(2, ()), source="peer")
 
 
 @when('it is told the desired state and a runner in "{zone}"')
 def tell_runner(context, zone):
     state = make_state(1, make_route("idempotent"), cold_s=3.0, cold_calls_per_s=9.0)
     spec = msgspec.json.encode(state)
-    context.view.take_state(decode_state(spec, revision=1), source="peer")
+    context.view.apply_state(decode_state(spec, revision=1), source="peer")
     runner = Runner("r", "127.0.0.1", 1, zone, "region", RunnerKind.SERVICE, POOL, 8)
     context.record = RunnerRecord(runner, is_leaving=False, revision=1)
-    context.view.take_runners(DirectoryView(2, (context.record,)), source="peer")
+    context.view.apply_runners(DirectoryView(2, (context.record,)), source="peer")
 
 
 @when('"{zone}" is emptied and returns')
 def empty_and_return(context, zone):
     orders = EvacuationView(3, (EvacuatedZone(zone, 3),))
-    context.view.take_evacuations(orders, source="peer")
-    context.view.take_evacuations(EvacuationView(4), source="peer")
+    context.view.apply_evacuations(orders, source="peer")
+    context.view.apply_evacuations(EvacuationView(4), source="peer")
 
 
 @when("the same entry is told again")
 def tell_again(context):
     changes = DirectoryChanges(0, 5, (context.record,), ())
-    context.view.take_changes(changes, source="peer")
+    context.view.apply_runner_changes(changes, source="peer")
 
 
 @when("the runner says that it is warm")
 def say_warm(context):
     record = context.record._replace(revision=6)
     changes = DirectoryChanges(5, 6, (record,), ())
-    context.view.take_changes(changes, source="watch")
+    context.view.apply_runner_changes(changes, source="watch")
 
 
 @then("the runner counts as cold")
 def check_runner_cold(context):
-    assert context.cold.left_ms(context.record.runner, now_ms=context.timers.now_ms())
+    assert context.cold.remaining_ms(
+        context.record.runner, now_ms=context.timers.now_ms()
+    )
 
 
 @then("the runner counts as warm")
 def check_runner_warm(context):
     now_ms = context.timers.now_ms()
-    assert not context.cold.left_ms(context.record.runner, now_ms=now_ms)
+    assert not context.cold.remaining_ms(context.record.runner, now_ms=now_ms)
 
 
 @when("it is told that no zone is emptied")
 def tell_no_orders(context):
-    context.view.take_evacuations(EvacuationView(2), source="peer")
+    context.view.apply_evacuations(EvacuationView(2), source="peer")
 
 
 @then("it is not ready")
--- a/packages/clementineyoke-node/tests/steps/news_steps.py
+++ b/packages/clementineyoke-node/tests/steps/news_steps.py
@@ -21,7 +21,7 @@
 from clementineyoke_core.runner import Runner, RunnerKind
 from clementineyoke_core.runner_table import RunnerTable
 from clementineyoke_node.edge.fleet_view import FleetView
-from clementineyoke_node.edge.news_cast import NewsCast
+from clementineyoke_node.edge.update_broadcaster import UpdateBroadcaster
 from clementineyoke_node.node_state import choose_watchers
 from clementineyoke_node.peers.peer_socket import PeerAddress, PeerMessage
 from clementineyoke_node.timers.timer_service import TimerService
@@ -179,10 +179,12 @@
         watchers = [node.io.store_watcher for node in fleet.nodes]
         fleet.store.fault = StoreFault.BUSY
         # A lease is longer than a node goes without an answer of the store.
-        await wait_until(lambda: all("servers" in w._away for w in watchers), 5)
+        await wait_until(
+            lambda: all("servers" in w._unreachable_kinds for w in watchers), 5
+        )
         await fleet.store.remove("servers", "runner-0")
         fleet.store.fault = None
-        await wait_until(lambda: not any(w._away for w in watchers), 3)
+        await wait_until(lambda: not any(w._unreachable_kinds for w in watchers), 3)
 
     context.run(act())
 
@@ -210,7 +212,7 @@
 
 
 def make_watcher(context, view):
-    membership = Membership(own=a_node(0), incarnation=1, rng=Random(1))
+    membership = Membership(local_node=a_node(0), incarnation=1, rng=Random(1))
     membership.add(a_node(1))
     context.socket = SocketRecorder()
     context.runner_table = RunnerTable()
@@ -222,15 +224,15 @@
         drain_within_ms=2_000,
         follows_evacuations=False,
         on_runners=lambda: None,
-        on_news=lambda changes: context.cast.tell(changes),
+        on_news=lambda changes: context.cast.broadcast(changes),
     )
-    context.cast = NewsCast(
+    context.cast = UpdateBroadcaster(
         socket=context.socket,
         membership=membership,
         view=context.view,
         on_newer=lambda node: None,
     )
-    context.view.take_runners(view, source="peer")
+    context.view.apply_runners(view, source="peer")
     context.socket.sent.clear()
 
 
@@ -268,7 +270,7 @@
 @when("its own watch shows the end of the runner's entry")
 def watch_shows_end(context):
     changes = DirectoryChanges(10, 12, (), (RunnerRemoval("runner", 12),))
-    context.view.take_changes(changes, source="watch")
+    context.view.apply_runner_changes(changes, source="watch")
 
 
 @then("the news say that it may have lapsed")
@@ -281,7 +283,7 @@
 def watch_shows(context, base, revision):
     removal = RunnerRemoval("runner", revision)
     changes = DirectoryChanges(base, revision, (), (removal,))
-    context.view.take_changes(changes, source="watch")
+    context.view.apply_runner_changes(changes, source="watch")
 
 
 @then("the changes that it tells its zone end at revision {revision:d}")
@@ -303,7 +305,7 @@
             "runner-new", revision + 1, wait_ms=2_000, born_ms=0, is_refused=False
         )
         news = StoreNews(0, 60_000, revision, revision + 1, 60_000, [], [note])
-        sender = PeerAddress.of(peer.state.membership.own)
+        sender = PeerAddress.of(peer.state.membership.local_node)
         node.io.socket._handlers[StoreNews](PeerMessage(sender, 1, news))
         # The watch that is under way ends, and the next one begins.
         await asyncio.sleep(0.1)
--- a/packages/clementineyoke-node/tests/steps/node_state_steps.py
+++ b/packages/clementineyoke-node/tests/steps/node_state_steps.py
@@ -2,8 +2,11 @@
 
 from behave import given, then, when
 
+from clementineyoke_core.membership_update import (
+    MembershipUpdate,
+    NodeState as PeerState,
+)
 from clementineyoke_core.node import Node
-from clementineyoke_core.rumour import NodeState as PeerState, Rumour
 from clementineyoke_core.runner import Runner, RunnerKind
 from clementineyoke_node.config.node_config import parse_node_config
 from clementineyoke_node.node_state import NodeState
@@ -32,7 +35,7 @@
     ]
     context.states = [make_state(node) for node in nodes]
     for state in context.states:
-        state.membership.replace_listed(live=nodes, leaving=[])
+        state.membership.apply_host_list(live=nodes, leaving=[])
         state.take_hosts()
 
 
@@ -40,7 +43,9 @@
 def take_down(context):
     context.gone = context.states[0].fleet_homes.home_of(NAMES[0])
     for state in context.states:
-        state.membership.hear(Rumour(context.gone, 2**32, PeerState.DOWN))
+        state.membership.apply_update(
+            MembershipUpdate(context.gone, 2**32, PeerState.DOWN)
+        )
         state.take_hosts()
 
 
@@ -56,7 +61,7 @@
 def check_region(context):
     for state in context.states:
         runner = Runner("e", "", 1, "z", state.config.region, RunnerKind.ENGINE, "m", 8)
-        state.table.replace_listed(live=[runner], leaving=[], now_ms=0)
+        state.table.apply_host_list(live=[runner], leaving=[], now_ms=0)
         state.take_hosts()
         home = state.region_homes.home_of("e")
         assert state.membership.node(home).region == state.config.region
--- a/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
+++ b/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
@@ -107,7 +107,7 @@
     async def act():
         await fleet.store.remove("servers", standin.runner_id)
         await wait_until(lambda: table.get(standin.runner_id) is None, 4)
-        await fleet.list_runner(standin)
+        await fleet.register_runner(standin)
         await wait_until(lambda: table.get(standin.runner_id) is not None, 4)
 
     context.run(act())
--- a/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
+++ b/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
@@ -6,7 +6,7 @@
 
 from clementineyoke_core.node import Node
 from clementineyoke_node.settings.settings_error import SettingsError
-from clementineyoke_node.settings.settings_keeper import SettingsKeeper
+from clementineyoke_node.settings.settings_replica import SettingsReplica
 from clementineyoke_node.settings.settings_writer import SettingsWriter
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
 
@@ -27,14 +27,14 @@
 
 
 def make_writer(context):
-    keeper = SettingsKeeper(
+    keeper = SettingsReplica(
         objects=context.objects,
         peers=NoPeers(),
         has_watch_duty=lambda: True,
         has_snapshot_duty=lambda: True,
     )
     writer = SettingsWriter(
-        objects=context.objects, keeper=keeper, author_node="node-1"
+        objects=context.objects, settings=keeper, author_node="node-1"
     )
     return keeper, writer
 
@@ -180,7 +180,7 @@
 @then("a new node that hears of a peer has version {version:d} and the same tree")
 def check_peer_start(context, version):
     async def run():
-        keeper = SettingsKeeper(
+        keeper = SettingsReplica(
             objects=context.objects,
             peers=OnePeer(context.keeper.log),
             has_watch_duty=lambda: True,
@@ -188,7 +188,7 @@
         )
         async with keeper:
             peer = Node("peer", "127.0.0.1", 1, 2, "zone", "region")
-            keeper.hear_of_newer(peer, version)
+            keeper.fetch_newer(peer, version)
             async with asyncio.timeout(10):
                 await keeper.ready.wait()
         return keeper
--- a/packages/clementineyoke-node/tests/steps/shard_task_steps.py
+++ b/packages/clementineyoke-node/tests/steps/shard_task_steps.py
@@ -7,8 +7,8 @@
 from behave import given, then, when
 
 from clementineyoke_core.claims.decision import ClaimVerdict
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_node.claims.shard_task import PendingAsk, ShardTask
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_node.claims.shard_task import PendingClaim, ShardTask
 from clementineyoke_node.timers.timer_service import TimerService
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
 
@@ -29,8 +29,8 @@
     """Return the verdict, or None when the holder has given up."""
     future = asyncio.get_running_loop().create_future()
     gives_up_ms = context.timers.now_ms() + patience_ms
-    ask = ClaimAsk(key, holder, "digest")
-    task.ask(PendingAsk(ask, gives_up_ms, lambda d: future.set_result(d.verdict)))
+    ask = ClaimAttempt(key, holder, "digest")
+    task.submit(PendingClaim(ask, gives_up_ms, lambda d: future.set_result(d.verdict)))
     done, _ = await asyncio.wait([future], timeout=patience_ms / 1000)
     if done:
         return future.result()
--- a/packages/clementineyoke-node/tests/steps/slot_broker_steps.py
+++ b/packages/clementineyoke-node/tests/steps/slot_broker_steps.py
@@ -13,10 +13,10 @@
 from clementineyoke_core.runner_homes import RunnerHomes
 from clementineyoke_core.runner_table import RunnerTable
 from clementineyoke_node.slots.slot_broker import SlotBroker
-from clementineyoke_node.slots.slot_wish import SlotWish
+from clementineyoke_node.slots.slot_request import SlotRequest
 from clementineyoke_wire.messages import SlotRelease
 
-WISH = SlotWish("m", key=1, team=1, priority=5, wait_ms=0)
+WISH = SlotRequest("m", key=1, team=1, priority=5, wait_ms=0)
 
 
 class SilentSocket:
@@ -41,14 +41,14 @@
 @given("a broker whose runner's home is another node")
 def given_broker(context):
     own, other = (Node(f"n{n}", "127.0.0.1", 1, n, "z", "region") for n in (1, 2))
-    membership = Membership(own=own, incarnation=1, rng=Random(1))
-    membership.replace_listed(live=[own, other], leaving=[])
+    membership = Membership(local_node=own, incarnation=1, rng=Random(1))
+    membership.apply_host_list(live=[own, other], leaving=[])
     table = RunnerTable()
-    table.replace_listed(live=[RUNNER], leaving=[], now_ms=0)
+    table.apply_host_list(live=[RUNNER], leaving=[], now_ms=0)
     rings = PoolRings(table=table, region="region")
     rings.rebuild()
     homes = RunnerHomes()
-    homes.replace(nodes=["n2"], pools={"m": ["engine-1"]})
+    homes.reassign(nodes=["n2"], pools={"m": ["engine-1"]})
     context.socket = SilentSocket()
     context.broker = SlotBroker(
         membership=membership,
--- a/packages/clementineyoke-node/tests/steps/slot_home_steps.py
+++ b/packages/clementineyoke-node/tests/steps/slot_home_steps.py
@@ -4,13 +4,13 @@
 
 from behave import given, then, when
 
-from clementineyoke_core.cold_runners import ColdLimit, ColdRunners
+from clementineyoke_core.cold_runners import ColdRunnerLimit, ColdRunners
 from clementineyoke_core.hashing import hash_text
-from clementineyoke_core.mean_load import MeanLoad
+from clementineyoke_core.mean_load import MeanLoadEstimator
 from clementineyoke_core.runner import Runner, RunnerKind
 from clementineyoke_core.runner_homes import RunnerHomes
 from clementineyoke_core.runner_table import RunnerTable
-from clementineyoke_core.slot_ledger import SlotHold, SlotLedger
+from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 from clementineyoke_node.peers.peer_socket import PeerAddress, PeerMessage, PeerSocket
 from clementineyoke_node.slots.slot_home import SlotHome
 from clementineyoke_wire.messages import RunnerFault, SlotAsk, SlotRelease, SlotReply
@@ -51,18 +51,18 @@
     context.socket = RecordingSocket()
     context.timers = SteppedTimers()
     table = RunnerTable()
-    table.replace_listed(live=live, leaving=leaving, now_ms=0)
+    table.apply_host_list(live=live, leaving=leaving, now_ms=0)
     homes = RunnerHomes()
-    homes.replace(nodes=["node-1"], pools={"m": ["engine-1"]})
+    homes.reassign(nodes=["node-1"], pools={"m": ["engine-1"]})
     context.home = SlotHome(
         own_id="node-1",
         ledger=SlotLedger(),
         table=table,
         homes=homes,
-        mean_load=MeanLoad(),
+        mean_load=MeanLoadEstimator(),
         socket=context.socket,
         timers=context.timers,
-        cold=cold,
+        cold_runners=cold,
     )
     context.home.rebuild()
 
@@ -80,7 +80,7 @@
 @given("a home whose runner has its 1 slot in use")
 def given_full(context):
     make_home(context, live=[RUNNER])
-    context.hold = SlotHold("node-1", 1)
+    context.hold = SlotHolder("node-1", 1)
     context.home.ask("engine-1", context.hold, seen_mean=0.0).unwrap()
 
 
@@ -105,9 +105,9 @@
 @then("the last grants of the old process and the 4 new ones are all counted")
 def check_counted(context):
     ledger = SlotLedger()
-    holds = [SlotHold("peer", n) for n in context.old_ids + context.new_ids]
+    holds = [SlotHolder("peer", n) for n in context.old_ids + context.new_ids]
     for hold in holds:
-        ledger.ask("engine-1", hold, bound=10**6, now_ms=0).unwrap()
+        ledger.acquire("engine-1", hold, bound=10**6, now_ms=0).unwrap()
     assert ledger.in_use("engine-1") == len(holds)
 
 
@@ -117,7 +117,7 @@
 )
 def given_cold_limit(context, slots, calls):
     cold = ColdRunners()
-    cold.set_limits({"m": ColdLimit(calls, 3_000)})
+    cold.set_limits({"m": ColdRunnerLimit(calls, 3_000)})
     make_home(context, live=[RUNNER._replace(slots=slots)], cold=cold)
 
 
--- a/packages/clementineyoke-node/tests/steps/store_entries_steps.py
+++ b/packages/clementineyoke-node/tests/steps/store_entries_steps.py
@@ -158,7 +158,7 @@
 
 @when("runner {number:d} enters itself again")
 def enter_again(context, number):
-    context.run(context.fleet.list_runner(context.fleet.runners[number]))
+    context.run(context.fleet.register_runner(context.fleet.runners[number]))
 
 
 async def wait_known(context, count, limit):
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/claims_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/claims_case.py
@@ -6,8 +6,8 @@
 from contextlib import AsyncExitStack
 from typing import TYPE_CHECKING
 
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_node.claims.shard_task import PendingAsk, ShardTask
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_node.claims.shard_task import PendingClaim, ShardTask
 from clementineyoke_node.timers.timer_service import TimerService
 from clementineyoke_standins.bench.bench_case import BenchCase
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
@@ -75,10 +75,10 @@
     task: ShardTask, number: int, timers: TimerService, waits_ms: list[float]
 ) -> None:
     asked_ms = timers.now_ms()
-    ask = ClaimAsk(f"key-{number}", f"holder-{number}", "digest")
+    ask = ClaimAttempt(f"key-{number}", f"holder-{number}", "digest")
 
     def answer(decision: ClaimDecision) -> None:
         waits_ms.append(timers.now_ms() - asked_ms)
         task.report(ClaimReport(ask.key, ask.holder, True))
 
-    task.ask(PendingAsk(ask, asked_ms + PATIENCE_MS, answer))
+    task.submit(PendingClaim(ask, asked_ms + PATIENCE_MS, answer))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/decision_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/decision_case.py
@@ -22,7 +22,7 @@
     rng = Random(seed)
     ring = HashRing()
     runner_ids = [f"engine-{index}" for index in range(RUNNERS)]
-    ring.replace(runner_ids)
+    ring.set_members(runner_ids)
     chats = [f"chat-{rng.randrange(10**6)}" for _ in range(DECISIONS)]
     began_s = time.process_time()
     for chat in chats:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/limits_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/limits_case.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from clementineyoke_core.team_budget import TeamBudget
-from clementineyoke_core.team_purse import TeamPurse
+from clementineyoke_core.team_budget_share import TeamBudgetShare
 from clementineyoke_standins.bench.bench_case import BenchCase
 
 NODES = 6
@@ -58,7 +58,7 @@
 
 def _play(rng: Random) -> list[float]:
     budget = TeamBudget(rate_per_s=RATE_PER_S, burst=BURST, now_ms=0.0)
-    purses = [TeamPurse() for _ in range(NODES)]
+    purses = [TeamBudgetShare() for _ in range(NODES)]
     shares: list[Share] = []
     allowed_s: list[float] = []
     at_s = 0.0
@@ -69,19 +69,21 @@
             _receive(heapq.heappop(shares), purses, allowed_s)
         node = rng.randrange(NODES)
         now_ms = at_s * 1000
-        if purses[node].spend_one(now_ms=now_ms):
+        if purses[node].try_spend(now_ms=now_ms):
             allowed_s.append(at_s)
             continue
-        wanted = purses[node].tokens_to_ask(now_ms=now_ms)
+        wanted = purses[node].tokens_to_request(now_ms=now_ms)
         grant = budget.grant(wanted, now_ms=now_ms + ONE_WAY_MS)
         share = Share(now_ms + 2 * ONE_WAY_MS, node, grant.tokens)
         heapq.heappush(shares, share)
     return allowed_s
 
 
-def _receive(share: Share, purses: list[TeamPurse], allowed_s: list[float]) -> None:
-    purses[share.node].receive(share.tokens, now_ms=share.at_ms)
-    if purses[share.node].spend_one(now_ms=share.at_ms):
+def _receive(
+    share: Share, purses: list[TeamBudgetShare], allowed_s: list[float]
+) -> None:
+    purses[share.node].add_tokens(share.tokens, now_ms=share.at_ms)
+    if purses[share.node].try_spend(now_ms=share.at_ms):
         allowed_s.append(share.at_ms / 1000)
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
@@ -100,7 +100,7 @@
     for at_ms, key in keys:
         if at_ms >= LIST_LAG_MS and not is_listed:
             is_listed = True
-            table.replace_listed(live=runners[1:], leaving=[leaving], now_ms=at_ms)
+            table.apply_host_list(live=runners[1:], leaving=[leaving], now_ms=at_ms)
         if next(rings.order(POOL, key)) == leaving.runner_id:
             refused += 1
             table.record_draining(leaving.runner_id, now_ms=at_ms)
@@ -112,7 +112,7 @@
         Runner(f"engine-{n}", "", 1, "zone", REGION, RunnerKind.ENGINE, POOL, 32)
         for n in range(RUNNERS)
     ]
-    table.replace_listed(live=runners, leaving=[], now_ms=0.0)
+    table.apply_host_list(live=runners, leaving=[], now_ms=0.0)
     rings = PoolRings(table=table, region=REGION)
     rings.rebuild()
     return rings, runners
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/baselines.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/baselines.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from clementineyoke_core.hash_ring import HashRing
-from clementineyoke_core.load_bound import DEFAULT_LOAD_FACTOR, bound_slots
+from clementineyoke_core.load_bound import DEFAULT_LOAD_FACTOR, compute_load_bound
 from clementineyoke_standins.bench.policies.policy import Choice
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
         self._rng = rng
         self._runner_ids = list(world.loads)
         self._ring = HashRing()
-        self._ring.replace(self._runner_ids)
+        self._ring.set_members(self._runner_ids)
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
         """Return the runner for a request; each baseline says how."""
@@ -38,7 +38,7 @@
     def replace_runners(self, runner_ids: list[str]) -> None:
         """Take a new set of runners."""
         self._runner_ids = list(runner_ids)
-        self._ring.replace(runner_ids)
+        self._ring.set_members(runner_ids)
 
 
 class RoundRobin(Baseline):
@@ -91,7 +91,7 @@
 
     def _first_under_bound(self, request: Request, loads: dict[str, int]) -> str | None:
         mean_load = sum(loads.values()) / max(1, len(loads))
-        bound = bound_slots(
+        bound = compute_load_bound(
             mean_load=mean_load, slots=self._world.slots, factor=DEFAULT_LOAD_FACTOR
         )
         for runner_id in self._ring.order(request.key):
@@ -111,7 +111,7 @@
         """Return the chat's last runner if it is under the bound, else the next."""
         loads = self._world.loads
         last = self._last.get(request.chat)
-        bound = bound_slots(
+        bound = compute_load_bound(
             mean_load=self._world.mean_load(),
             slots=self._world.slots,
             factor=DEFAULT_LOAD_FACTOR,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
@@ -10,10 +10,10 @@
 
 from clementineyoke_core.hash_ring import HashRing
 from clementineyoke_core.hashing import hash_text
-from clementineyoke_core.load_bound import bound_by_home
-from clementineyoke_core.mean_load import MeanLoad
+from clementineyoke_core.load_bound import compute_home_bound
+from clementineyoke_core.mean_load import MeanLoadEstimator
 from clementineyoke_core.runner_homes import RunnerHomes
-from clementineyoke_core.slot_ledger import SlotHold, SlotLedger
+from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 from clementineyoke_core.slot_search import SlotAttempt, SlotSearch
 from clementineyoke_node.peers.peer_socket import DATAGRAM_OVERHEAD_BYTES
 from clementineyoke_standins.bench.policies.policy import Choice
@@ -67,11 +67,11 @@
         self._ring = HashRing()
         self._homes = RunnerHomes()
         self._ledgers = {node_id: SlotLedger() for node_id in self._node_ids}
-        self._means = {node_id: MeanLoad() for node_id in self._node_ids}
+        self._means = {node_id: MeanLoadEstimator() for node_id in self._node_ids}
         self._homed: dict[str, list[str]] = {}
         self._last: dict[str, str] = {}
         self._hold = 0
-        self._holders: dict[int, tuple[SlotHold, str]] = {}
+        self._holders: dict[int, tuple[SlotHolder, str]] = {}
         """Who holds a slot on which runner, by the request's number."""
         self.sent: Counter[str] = Counter()
         self.cpu_s = 0.0
@@ -112,13 +112,13 @@
     def replace_runners(self, runner_ids: list[str]) -> None:
         """Take a new set of runners; holders bring their grants to new homes."""
         before = {r: self._homes.home_of(r) for r in self._ring.members}
-        self._ring.replace(runner_ids)
-        self._homes.replace(nodes=self._node_ids, pools={POOL: runner_ids})
+        self._ring.set_members(runner_ids)
+        self._homes.reassign(nodes=self._node_ids, pools={POOL: runner_ids})
         known = set(runner_ids)
         for ledger in self._ledgers.values():
             for runner_id in ledger.runner_ids():
                 if runner_id not in known:
-                    ledger.forget(runner_id)
+                    ledger.remove_runner(runner_id)
         self._homed = {node_id: [] for node_id in self._node_ids}
         for runner_id in runner_ids:
             home = self._homes.home_of(runner_id)
@@ -145,7 +145,7 @@
             new = self._homes.home_of(runner_id)
             if old is None or new is None or old == new:
                 continue
-            self._ledgers[old].forget(runner_id)
+            self._ledgers[old].remove_runner(runner_id)
             holds = [h for h, r in self._holders.values() if r == runner_id]
             for hold in holds:
                 self._ledgers[new].renew(runner_id, hold, now_ms=0.0)
@@ -158,7 +158,7 @@
         search = SlotSearch(order=self._ring.order(request.key), preferred=preferred)
         node_id = self._entry_node(request, preferred)
         self._hold += 1
-        holder = SlotHold(node_id, self._hold)
+        holder = SlotHolder(node_id, self._hold)
         while (attempt := search.next_attempt()) is not None:
             in_use = self._ask(node_id, attempt, holder, now_ms=now_ms)
             if in_use is None:
@@ -177,7 +177,7 @@
         return self._rng.choice(self._node_ids)
 
     def _ask(
-        self, node_id: str, attempt: SlotAttempt, holder: SlotHold, *, now_ms: float
+        self, node_id: str, attempt: SlotAttempt, holder: SlotHolder, *, now_ms: float
     ) -> int | None:
         """Return None for a grant, else the load that the refusal names."""
         home = self._homes.home_of(attempt.runner_id)
@@ -186,12 +186,12 @@
         if home != node_id:
             self.sent["slot_ask"] += 1
             self.sent["slot_reply"] += 1
-        bound = bound_by_home(
+        bound = compute_home_bound(
             estimated_mean=self._means[home].mean(POOL),
             seen_mean=attempt.seen_mean,
             slots=self._world.slots,
         )
-        result = self._ledgers[home].ask(
+        result = self._ledgers[home].acquire(
             attempt.runner_id, holder, bound=bound, now_ms=now_ms
         )
         if is_successful(result):
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/spread_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/spread_case.py
@@ -39,9 +39,9 @@
         Node(f"node-{n}", "127.0.0.1", 1, n, f"zone-{n % 11}", f"region-{n % 3}")
         for n in range(NODES)
     ]
-    views = [Membership(own=node, incarnation=1, rng=rng) for node in nodes]
+    views = [Membership(local_node=node, incarnation=1, rng=rng) for node in nodes]
     for view in views:
-        view.replace_listed(live=nodes, leaving=[])
+        view.apply_host_list(live=nodes, leaving=[])
     index_of = {node.node_id: index for index, node in enumerate(nodes)}
     # Each node's gossip ticks at its own phase.
     turns = sorted((rng.random() * INTERVAL_MS, index) for index in range(NODES))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any
 
 from clementineyoke_core.claims.chain import ClaimChain
-from clementineyoke_core.claims.messages import ClaimAsk
-from clementineyoke_core.claims.segment import FIRST_HEAD, ChainRead, StoredSegment
+from clementineyoke_core.claims.messages import ClaimAttempt
+from clementineyoke_core.claims.segment import INITIAL_HEAD, ChainRead, StoredSegment
 from clementineyoke_core.edge.call_kind import CallKind
 from clementineyoke_core.edge.crash_records import CrashRecords
 from clementineyoke_core.edge.desired_state import CallerLimits, DesiredState, Team
@@ -24,7 +24,7 @@
 from clementineyoke_core.runner import Runner, RunnerKind
 from clementineyoke_core.runner_table import RunnerTable
 from clementineyoke_core.settings.tree import SettingsTree
-from clementineyoke_core.slot_ledger import SlotHold, SlotLedger
+from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 from clementineyoke_standins.capacity.slope import Slope, fit
 
 if TYPE_CHECKING:
@@ -80,13 +80,13 @@
 def _make_rings(runners: int) -> list[HashRing]:
     rings = [HashRing() for _ in range(POOLS)]
     for pool, ring in enumerate(rings):
-        ring.replace(f"engine-{n}" for n in range(pool, runners, POOLS))
+        ring.set_members(f"engine-{n}" for n in range(pool, runners, POOLS))
     return rings
 
 
 def _make_table(runners: int) -> RunnerTable:
     table = RunnerTable()
-    table.replace_listed(
+    table.apply_host_list(
         live=[
             Runner(
                 f"engine-{n}",
@@ -111,31 +111,31 @@
         Node(f"node-{n}", f"10.1.{n // 250}.{n % 250}", 1, 2, f"z{n % 11}", f"r{n % 3}")
         for n in range(nodes)
     ]
-    view = Membership(own=listed[0], incarnation=1, rng=Random(1))
-    view.replace_listed(live=listed, leaving=[])
+    view = Membership(local_node=listed[0], incarnation=1, rng=Random(1))
+    view.apply_host_list(live=listed, leaving=[])
     for node in listed[1:]:
-        view.record_heard(node.node_id, incarnation=7)
+        view.record_message(node.node_id, incarnation=7)
     return view
 
 
 def _make_ledger(holds: int) -> SlotLedger:
     ledger = SlotLedger()
     for n in range(holds):
-        hold = SlotHold(f"10.0.0.{n % 137}:8081", 10**6 + n)
-        ledger.ask(f"engine-{n % 9}", hold, bound=holds, now_ms=float(n))
+        hold = SlotHolder(f"10.0.0.{n % 137}:8081", 10**6 + n)
+        ledger.acquire(f"engine-{n % 9}", hold, bound=holds, now_ms=float(n))
     return ledger
 
 
 def make_chain(claims: int) -> ClaimChain:
     """Return a shard's chain whose open segment holds claims, as written once."""
     chain = ClaimChain(shard="claims/0")
-    chain.load(ChainRead(0, FIRST_HEAD, {0: StoredSegment(0, None)}))
+    chain.load(ChainRead(0, INITIAL_HEAD, {0: StoredSegment(0, None)}))
     asks = [
-        ClaimAsk(f"{n:024x}", f"node-{n % 410}.6ab1.{n:x}", f"{n:012x}")
+        ClaimAttempt(f"{n:024x}", f"node-{n % 410}.6ab1.{n:x}", f"{n:012x}")
         for n in range(claims)
     ]
     write = chain.next_write(asks, [], wall_ms=WALL_MS)
-    chain.written(write, version=1)
+    chain.record_written(write, version=1)
     return chain
 
 
@@ -145,11 +145,11 @@
     for number in range(requests):
         digest = number.to_bytes(DIGEST_BYTES, "big")
         for end in range(CRASHES_A_REQUEST):
-            records.record_end(
+            records.record_crash(
                 digest,
-                runner=f"i-{number // CALLS_A_RUNNER:08x}{end:02x}@{WALL_MS}",
+                lifetime=f"i-{number // CALLS_A_RUNNER:08x}{end:02x}@{WALL_MS}",
                 sent_ms=1_000.0 * end,
-                ended_ms=1_000.0 * end + 100.0,
+                crashed_ms=1_000.0 * end + 100.0,
             )
     return records
 
@@ -231,7 +231,7 @@
         objective_ms=1_200.0,
         pause_objective_ms=400.0,
         priority=1,
-        most_runners=2,
+        max_runners=2,
         is_public=False,
         is_resumable=True,
         has_prompt=True,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
@@ -6,14 +6,14 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from clementineyoke_core.edge.crash_records import MOST_RECORDS, CrashRecords
+from clementineyoke_core.edge.crash_records import MAX_RECORDS, CrashRecords
 from clementineyoke_core.edge.request_digest import DIGEST_BYTES, request_digest
 from clementineyoke_core.hash_ring import HashRing
 from clementineyoke_core.hashing import hash_text
-from clementineyoke_core.mean_load import MeanLoad
+from clementineyoke_core.mean_load import MeanLoadEstimator
 from clementineyoke_core.settings.change import SettingsChange
 from clementineyoke_core.settings.log import SettingsLog
-from clementineyoke_core.slot_ledger import SlotHold, SlotLedger
+from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 from clementineyoke_standins.capacity.slope import Slope, fit
 from clementineyoke_standins.capacity.state_slopes import (
     CLAIMS,
@@ -89,7 +89,7 @@
 
 def _run_gossip(count: int) -> float:
     seal = Seal(keys=["key"])
-    means = [MeanLoad(), MeanLoad()]
+    means = [MeanLoadEstimator(), MeanLoadEstimator()]
     for mean in means:
         for pool in range(POOLS):
             mean.set_local(f"model-{pool}", load=9.0, runners=1.0)
@@ -115,13 +115,13 @@
             digest = number.to_bytes(DIGEST_BYTES, "big")
             runner = f"i-{number:010x}"
             _pass(seal, CrashReport(digest, runner, 900, 25))
-            records.record_end(digest, runner=runner, sent_ms=0.0, ended_ms=900.0)
+            records.record_crash(digest, lifetime=runner, sent_ms=0.0, crashed_ms=900.0)
 
     return _time(work)
 
 
 def _run_checks(count: int) -> float:
-    records = make_crashes(MOST_RECORDS)
+    records = make_crashes(MAX_RECORDS)
     body = bytes(MEAN_BODY_BYTES)
 
     def work() -> None:
@@ -139,8 +139,8 @@
 
     def work() -> None:
         for number in range(count):
-            hold = SlotHold("10.0.0.1:8081", number)
-            ledger.ask("engine-1", hold, bound=64, now_ms=0.0)
+            hold = SlotHolder("10.0.0.1:8081", number)
+            ledger.acquire("engine-1", hold, bound=64, now_ms=0.0)
             ledger.release("engine-1", hold)
 
     return _time(work)
@@ -173,19 +173,19 @@
 
     def work() -> None:
         write = chain.next_write([], [], wall_ms=WALL_MS + 1)
-        chain.written(write, version=2)
+        chain.record_written(write, version=2)
 
     return _time(work)
 
 
 def _run_ring(runners: int) -> float:
     members = [f"engine-{n}" for n in range(runners)]
-    return _time(lambda: HashRing().replace(members))
+    return _time(lambda: HashRing().set_members(members))
 
 
 def _run_ring_change(runners: int) -> float:
     members = [f"engine-{n}" for n in range(runners)]
     Random(1).shuffle(members)
     ring = HashRing()
-    ring.replace(members)
-    return _time(lambda: ring.replace(members[1:]))
+    ring.set_members(members)
+    return _time(lambda: ring.set_members(members[1:]))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/crash_records_spec.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/crash_records_spec.py
@@ -16,7 +16,11 @@
 
 from minicheck import Protocol
 
-from clementineyoke_core.edge.crash_records import UNKNOWN, CrashRecord, CrashRecords
+from clementineyoke_core.edge.crash_records import (
+    EMPTY_RECORD,
+    CrashRecord,
+    CrashRecords,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -43,7 +47,7 @@
     now_ms: float = STEP_MS
     ends: tuple[End, ...] = ()
     answered_ms: float = 0.0
-    nodes: tuple[CrashRecord, ...] = (UNKNOWN, UNKNOWN)
+    nodes: tuple[CrashRecord, ...] = (EMPTY_RECORD, EMPTY_RECORD)
     heard_clear: tuple[bool, ...] = (False, False)
     """Which node has heard that the request was cleared."""
     told: tuple[CrashRecord, ...] = ()
@@ -118,7 +122,7 @@
 
 def _table(record: CrashRecord, now_ms: float) -> CrashRecords:
     table = CrashRecords()
-    table.take(DIGEST, record, now_ms=now_ms)
+    table.merge(DIGEST, record, now_ms=now_ms)
     return table
 
 
@@ -137,14 +141,16 @@
 def _report(state: State, node: int, end: End, guards: Guards) -> State:
     table = _table(state.nodes[node], state.now_ms)
     sent_ms = end.sent_ms if guards.one_after_the_other else state.now_ms
-    table.record_end(DIGEST, runner=end.runner, sent_ms=sent_ms, ended_ms=end.ended_ms)
+    table.record_crash(
+        DIGEST, lifetime=end.runner, sent_ms=sent_ms, crashed_ms=end.ended_ms
+    )
     return _with(state, node, table)
 
 
 def _take(state: State, node: int, record: CrashRecord, guards: Guards) -> State:
-    known = state.nodes[node] if guards.compare_ranks else UNKNOWN
+    known = state.nodes[node] if guards.compare_ranks else EMPTY_RECORD
     table = _table(known, state.now_ms)
-    table.take(DIGEST, record, now_ms=state.now_ms)
+    table.merge(DIGEST, record, now_ms=state.now_ms)
     return _with(state, node, table)
 
 
@@ -157,5 +163,5 @@
     )
     if guards.count_clears:
         return cleared
-    forgotten = _with(cleared, node, _table(UNKNOWN, answered_ms))
+    forgotten = _with(cleared, node, _table(EMPTY_RECORD, answered_ms))
     return forgotten._replace(told=state.told)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from clementineyoke_core.claims.segment import (
-    FIRST_HEAD,
+    INITIAL_HEAD,
     ChainRead,
     StoredSegment,
     decode_head,
     decode_segment,
     head_name,
-    slot_name,
+    segment_name,
 )
 
 if TYPE_CHECKING:
@@ -36,12 +36,12 @@
     def read(self) -> ChainRead:
         """Return head and segments."""
         version, body = self.objects.get(head_name(self._shard), (0, b""))
-        head = decode_head(body) if version else FIRST_HEAD
+        head = decode_head(body) if version else INITIAL_HEAD
         numbers = range(head.first, head.open + 1)
         return ChainRead(version, head, {n: self._read_segment(n) for n in numbers})
 
     def _read_segment(self, number: int) -> StoredSegment:
-        version, body = self.objects.get(slot_name(self._shard, number), (0, b""))
+        version, body = self.objects.get(segment_name(self._shard, number), (0, b""))
         segment = decode_segment(body) if version else None
         if segment is not None and segment.number != number:
             segment = None
--- a/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
@@ -7,8 +7,8 @@
 
 from clementineyoke_core.claims.chain import ClaimChain
 from clementineyoke_core.claims.decision import ClaimVerdict
-from clementineyoke_core.claims.messages import ClaimAsk, ClaimReport
-from clementineyoke_core.claims.record import ClaimState, KeptAnswer
+from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
+from clementineyoke_core.claims.record import ClaimState, StoredAnswer
 from clementineyoke_standins.model import claims_spec
 from clementineyoke_standins.model.model_run import check_mutation
 from clementineyoke_standins.platform.chain_platform import ChainPlatform
@@ -49,12 +49,12 @@
         self.homes[int(home)].load(self.platform.read())
 
     def _decide(self, holder, home):
-        ask = ClaimAsk(KEY, holder, "digest")
+        ask = ClaimAttempt(KEY, holder, "digest")
         self.verdict = self.homes[int(home)].decide(ask).verdict
 
     def _prepare_write(self, kind, holder, home):
-        asks = [ClaimAsk(KEY, holder, "digest")] if kind == "claim" else []
-        answer = KeptAnswer(200, "text/plain", b"") if kind == "ran" else None
+        asks = [ClaimAttempt(KEY, holder, "digest")] if kind == "claim" else []
+        answer = StoredAnswer(200, "text/plain", b"") if kind == "ran" else None
         reports = [ClaimReport(KEY, holder, kind == "ran", answer)] * (kind != "claim")
         write = self.homes[int(home)].next_write(asks, reports, wall_ms=1)
         self.writes[int(home)] = write
@@ -63,18 +63,18 @@
         write, self.writes[int(home)] = self.writes[int(home)], None
         version = self.platform.land(write)
         assert version, "the platform refused what the specification let land"
-        self.homes[int(home)].written(write, version=version)
+        self.homes[int(home)].record_written(write, version=version)
 
     def _distrust(self, home):
         write, self.writes[int(home)] = self.writes[int(home)], None
         version = self.platform.land(write)
         assert version is None, "the platform took what the specification refuses"
-        self.homes[int(home)].distrust()
+        self.homes[int(home)].mark_stale()
 
     def _lose_reply(self, home):
         self.late[int(home)] = self.writes[int(home)]
         self.writes[int(home)] = None
-        self.homes[int(home)].distrust()
+        self.homes[int(home)].mark_stale()
 
     def _drop_late(self, home):
         self.late[int(home)] = None
