--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/__init__.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of the edge: routes, attempts, runners and streams, without any I/O."""
+"""Routing decisions of the edge: routes, attempts, runners and streams; no I/O."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/admission.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/admission.py
@@ -1,4 +1,4 @@
-"""Decide by the desired state in force whether and how a call is served."""
+"""Admission of calls: match each call with a route and a team of the desired state."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
     from clementineyoke_core.edge.route_table import RouteTable
 
 NO_STATE_RETRY_SHARE = 0.3
-LEAST_NO_STATE_RETRY_MS = 200.0
-LONGEST_NO_STATE_RETRY_MS = 2_500.0
-"""When to come back to a node without a state. The store may be away for seconds and a
-caller comes back once or twice: the longer it can wait, the likelier it is served then.
-The times are spread, so that not all of them meet the node in its first moment."""
-LEAST_URGENT = 9
+MIN_NO_STATE_RETRY_MS = 200.0
+MAX_NO_STATE_RETRY_MS = 2_500.0
+"""Retry-After of a node that has no desired state yet, as a share of the caller's time
+budget within these bounds. The store may be unreachable for seconds and callers retry
+once or twice, so a later retry is likelier to succeed. The delay is randomized so that
+callers do not all return in the moment the node becomes ready."""
+LEAST_URGENT_PRIORITY = 9
 
 
 class AdmittedCall(NamedTuple):
-    """A call that may be served, with what the desired state says of it."""
+    """A call that may be served, with its settings from the desired state."""
 
     call: EdgeCall
     route: Route
@@ -36,20 +37,20 @@
     priority: int
     arrived_ms: float
     deadline_ms: float
-    """When the caller or the route's limit ends it; monotonic."""
+    """Monotonic time at which the caller's budget or the route's timeout is used up."""
     version: int
-    """The operator's version by which it was admitted."""
+    """Operator's version of the desired state that admitted the call."""
     prompt_key: int | None
-    """By which its prompt finds a runner; None for a call without one."""
+    """Routing key of the prompt; None for a call without a prompt."""
 
     @property
     def prompt_tokens(self) -> int:
-        """Length of the call's prompt; 0 for a call without one."""
+        """Return the length of the call's prompt; 0 for a call without a prompt."""
         return sum(part.tokens for part in self.call.prompt_parts)
 
     @property
     def digest(self) -> bytes:
-        """Mark of what is asked for, by which a repeat of the call is known."""
+        """Return the digest by which a repeated request is recognized."""
         return request_digest(
             team=self.team,
             method=self.call.method,
@@ -61,10 +62,13 @@
 def admit(
     call: EdgeCall, table: RouteTable | None, *, arrived_ms: float, rng: Random
 ) -> AdmittedCall:
-    """Match a call with route and team; raises ``RequestError``."""
+    """Match a call with its route and team.
+
+    Raises ``RequestError`` if the call is refused.
+    """
     if table is None:
-        # Refusing with "no such route" would tell a caller what only a known state can.
-        raise _refuse(503, "no desired state is known yet", _return_ms(call, rng))
+        # A 404 would claim that the route does not exist, which is not known here.
+        raise _refuse(503, "no desired state is known yet", _retry_after_ms(call, rng))
     _check_size(call, table.state.limits)
     match = table.match(call.hostname, call.path)
     route = match.route
@@ -90,18 +94,18 @@
 
 
 def _check_size(call: EdgeCall, limits: CallerLimits) -> None:
-    """Refuse what is larger than the operator lets a caller send."""
+    """Refuse requests that exceed the operator's size limits."""
     if call.head_bytes > limits.max_header_bytes:
         raise _refuse(431, f"headers of {call.head_bytes} bytes are too large")
     if len(call.body) > limits.max_body_bytes:
         raise _refuse(413, f"a body of {len(call.body)} bytes is too large")
 
 
-def _return_ms(call: EdgeCall, rng: Random) -> int:
-    longest_ms = NO_STATE_RETRY_SHARE * (call.budget_ms or 0.0)
-    longest_ms = min(LONGEST_NO_STATE_RETRY_MS, longest_ms)
-    least_ms = max(LEAST_NO_STATE_RETRY_MS, longest_ms / 2)
-    return int(rng.uniform(least_ms, max(least_ms, longest_ms)))
+def _retry_after_ms(call: EdgeCall, rng: Random) -> int:
+    max_ms = NO_STATE_RETRY_SHARE * (call.budget_ms or 0.0)
+    max_ms = min(MAX_NO_STATE_RETRY_MS, max_ms)
+    min_ms = max(MIN_NO_STATE_RETRY_MS, max_ms / 2)
+    return int(rng.uniform(min_ms, max(min_ms, max_ms)))
 
 
 def _pick_pool(route: Route, rng: Random) -> str:
@@ -115,7 +119,7 @@
     priority = route.priority
     if team is not None and team.priority is not None:
         priority = team.priority
-    return max(0, min(LEAST_URGENT, priority))
+    return max(0, min(LEAST_URGENT_PRIORITY, priority))
 
 
 def _refuse(
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/call_kind.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/call_kind.py
@@ -1,4 +1,4 @@
-"""What may be done again with a call."""
+"""Kinds of calls, which determine how a call may be retried."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallKind(Enum):
-    """The operator's word on what a route's calls are."""
+    """Kind of a route's calls, as configured by the operator."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/desired_state.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/desired_state.py
@@ -1,4 +1,4 @@
-"""What the operator wants to be in force, decoded and whole."""
+"""The operator's configuration (desired state), decoded and complete."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Team(NamedTuple):
-    """A customer of the operator and the keys of its callers."""
+    """A customer of the operator, with the API keys of its callers."""
 
     name: str
     keys: tuple[str, ...]
     priority: int | None
-    """Goes before the route's priority; None leaves that in force."""
+    """Overrides the route's priority; None keeps the route's priority."""
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of callers' requests and on the time to receive them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -26,25 +26,25 @@
 
 
 class PoolLimits(NamedTuple):
-    """What the operator says of a pool's runners."""
+    """Operator's limits for the runners of a pool."""
 
     pool: str
     cold_ms: float
     """How long a runner is cold after its start."""
     cold_calls_per_s: float
-    """Calls a second that a cold one bears; 0 for no limit."""
+    """Maximum rate of calls to a cold runner; 0 for no limit."""
 
 
 class DesiredState(NamedTuple):
-    """One accepted configuration."""
+    """One accepted version of the configuration."""
 
     revision: int
-    """The store's revision of it: the larger one is the newer."""
+    """Store revision; of two states the one with the higher revision is newer."""
     version: int
-    """The operator's own number for it."""
+    """Version number given by the operator."""
     routes: tuple[Route, ...]
     teams: tuple[Team, ...]
     needs_key: bool
-    """Whether callers must show a key: the state names teams."""
+    """Whether callers must send an API key, because the state lists teams."""
     limits: CallerLimits
     pools: tuple[PoolLimits, ...] = ()
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
@@ -1,4 +1,4 @@
-"""One caller's request, decoded once; the same whichever door it came through."""
+"""A caller's request, decoded once, independent of the server that received it."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class EdgeCall(NamedTuple):
-    """What a caller asks for."""
+    """A decoded request of a caller."""
 
     call_id: str
-    """Names this one try of the caller; the runner echoes it."""
+    """Identifies this attempt of the caller; the runner echoes it."""
     method: str
     target: str
-    """Path and query as the caller sent them."""
+    """Path and query string as the caller sent them."""
     path: str
     hostname: str
     passed_headers: tuple[tuple[str, str], ...]
-    """What the runner gets to see of the caller's headers."""
+    """Caller's headers that are forwarded to the runner."""
     head_bytes: int
-    """Size of the request's line and headers as they came."""
+    """Size of the request line and headers."""
     body: bytes
     key: str | None
-    """The caller's key, or None without one."""
+    """The caller's API key; None if it sent none."""
     budget_ms: float | None
-    """How long the caller will wait, from the arrival on."""
+    """How long the caller waits, counted from the call's arrival; None if unknown."""
     model: str
     prompt_parts: tuple[PromptPart, ...]
     last_event: int | None
-    """The last event that the caller has, when it takes up a broken stream."""
+    """Id of the last event the caller received, if it resumes a broken stream."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/entry_nodes.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/entry_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes callers are told to connect to."""
+"""Selection of the entry nodes, the nodes that callers are told to connect to."""
 
 from __future__ import annotations
 
@@ -13,39 +13,44 @@
 
     from clementineyoke_core.node import Node
 
-MOST_NAMED = 64
-"""What callers read of an answer."""
-FEWEST_NAMED = 4
-"""With fewer, the loss of one host would break more than a quarter of all streams."""
-ENOUGH_NAMED = 16
-"""Named even when fewer bear the calls: a loss of some hosts then takes about the same
-share of callers each time."""
-HEADROOM = 3.0
-"""Multiple of today's calls that the named nodes must bear: callers come in bursts of
-twice their usual number, and go on with the rest when a third of the nodes is lost."""
+MAX_ENTRY_NODES = 64
+"""Callers read no more addresses than this from a response."""
+MIN_ENTRY_NODES = 4
+"""With fewer nodes, the loss of one host would break more than a quarter of the
+streams."""
+TARGET_ENTRY_NODES = 16
+"""Number of nodes listed even if fewer can take the load, so that each loss of a few
+hosts affects about the same share of callers."""
+HEADROOM_FACTOR = 3.0
+"""Multiple of the current call rate that the listed nodes must sustain. Bursts reach
+twice the usual rate, and after the loss of a third of the nodes the rest take over."""
 
 
 def choose_entry_nodes(nodes: Iterable[Node], *, calls_per_s: float) -> list[Node]:
-    """Return the nodes to name, given the calls a second of the whole fleet.
+    """Return the entry nodes for the given call rate of the whole fleet.
 
-    Callers take any address of the answer with equal chances, so the weakest host
-    named bounds what all of them bear. Naming every node of a fleet of unequal hosts
-    gives most calls to small ones: each sees too few calls to keep its connections to
-    runners, or to notice that one has failed, and after a loss of power callers wait
-    for the slowest starts. Named is the strongest class of hosts that bears the calls.
+    Callers choose uniformly among the listed addresses, so the weakest listed host
+    limits the capacity of the whole list. If all nodes of a fleet of unequal hosts were
+    listed, most calls would go to small hosts. Each of these gets too few calls to keep
+    its connections to runners open or to notice that a runner has failed, and after a
+    power failure callers wait for the hosts that start most slowly. The list therefore
+    has the strongest class of hosts that sustains the load.
 
-    The choice depends on nothing but what nodes say of themselves, so that all nodes
-    name the same ones, and the loss of one changes one place.
+    The selection depends only on what the nodes report of themselves, so that all nodes
+    list the same ones, and the loss of one node changes one place of the list.
     """
     ranked = sorted(nodes, key=lambda node: hash_text(node.node_id))
     strongest: list[Node] = []
-    most_per_s = -1
-    for least_per_s in sorted({node.calls_per_s for node in ranked}, reverse=True):
-        able = [node for node in ranked if node.calls_per_s >= least_per_s]
-        borne_per_s = least_per_s * min(len(able), MOST_NAMED)
-        if len(able) >= FEWEST_NAMED and borne_per_s >= HEADROOM * calls_per_s:
-            wanted = math.ceil(HEADROOM * calls_per_s / max(1, least_per_s))
-            return spread_over_zones(able)[: max(wanted, ENOUGH_NAMED)]
-        if borne_per_s > most_per_s:
-            strongest, most_per_s = able, borne_per_s
-    return spread_over_zones(strongest)[:MOST_NAMED]
+    max_capacity_per_s = -1
+    for min_per_s in sorted({node.calls_per_s for node in ranked}, reverse=True):
+        eligible = [node for node in ranked if node.calls_per_s >= min_per_s]
+        capacity_per_s = min_per_s * min(len(eligible), MAX_ENTRY_NODES)
+        if (
+            len(eligible) >= MIN_ENTRY_NODES
+            and capacity_per_s >= HEADROOM_FACTOR * calls_per_s
+        ):
+            needed = math.ceil(HEADROOM_FACTOR * calls_per_s / max(1, min_per_s))
+            return spread_over_zones(eligible)[: max(needed, TARGET_ENTRY_NODES)]
+        if capacity_per_s > max_capacity_per_s:
+            strongest, max_capacity_per_s = eligible, capacity_per_s
+    return spread_over_zones(strongest)[:MAX_ENTRY_NODES]
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/evacuations.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/evacuations.py
@@ -1,4 +1,4 @@
-"""Which availability zones the operator has emptied of new work."""
+"""Availability zones that the operator has evacuated: they get no new work."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class EvacuatedZone(NamedTuple):
-    """One order of the operator's: no new work for the runners of a zone."""
+    """An evacuation order: the runners of the zone get no new work."""
 
     availability_zone: str
     revision: int
-    """The store's revision of the order."""
+    """Store revision of the order."""
 
 
 class EvacuationView(NamedTuple):
-    """All orders in force as of a revision of the store."""
+    """All evacuation orders in force at a store revision."""
 
     revision: int
     zones: tuple[EvacuatedZone, ...] = ()
 
 
 class EvacuationChanges(NamedTuple):
-    """What a watch saw of the orders between two revisions of the store."""
+    """Orders given or withdrawn up to a store revision, as seen by a watch."""
 
     revision: int
     evacuated: tuple[EvacuatedZone, ...]
@@ -29,46 +29,49 @@
 
 
 class ZoneChange(NamedTuple):
-    """How the zones in force have changed on this node."""
+    """Zones that were newly evacuated or returned to service on this node."""
 
     evacuated: tuple[EvacuatedZone, ...]
     returned: tuple[str, ...]
 
 
-NO_ORDERS = EvacuationView(0)
+NO_EVACUATIONS = EvacuationView(0)
 
 
 class Evacuations:
-    """Hold the operator's orders; never go back to an older view of the store.
+    """Hold the operator's evacuation orders; never revert to an older view.
 
-    Each view is the truth of one revision, whoever tells it, so the newest wins. A node
-    that took an older one would send calls to runners that are about to be switched
-    off, or keep a zone empty that serves again: seen as work in an emptied zone minutes
-    after the order, from one node only.
+    Each view is the complete state at one revision, whichever peer sent it, so the
+    newest wins. A node that accepted an older one would send calls to runners that are
+    about to be switched off, or send none to a zone that is back in service. This
+    would show as one node that uses an evacuated zone minutes after the order.
     """
 
     def __init__(self) -> None:
-        self._view = NO_ORDERS
+        self._view = NO_EVACUATIONS
         self.version = 0
-        """As of which revision the orders became what they are: what peers compare."""
+        """Store revision at which the orders last changed; peers compare it."""
 
     @property
     def is_known(self) -> bool:
-        """Whether anybody has told the orders yet; an empty list is an answer."""
+        """Return whether a view has been received yet; an empty one counts."""
         return self._view.revision > 0
 
     @property
     def view(self) -> EvacuationView:
-        """The orders in force, as they are handed to a peer."""
+        """Return the orders in force, as sent to peers."""
         return self._view
 
     def replace(self, view: EvacuationView) -> ZoneChange | None:
-        """Take all orders as of a revision; return what changed, None for old news."""
+        """Replace the view by a newer one.
+
+        Return what changed; None if the view is not newer or its orders are the same.
+        """
         if view.revision <= self._view.revision:
             return None
         is_same = self.is_known and view.zones == self._view.zones
         before = self._view.zones
-        # Also the same orders seen later count: what was in force between is past.
+        # An unchanged view at a later revision supersedes the revisions in between.
         self._view = view
         if is_same:
             return None
@@ -76,10 +79,10 @@
         return _compare(before, view.zones)
 
     def apply(self, changes: EvacuationChanges) -> ZoneChange | None:
-        """Take what a watch saw since a revision that was known here.
+        """Apply the changes that a watch saw since a revision known to this node.
 
-        The view may be newer than where the watch began, as a quicker peer has told;
-        events up to its revision are in it then, and taking them again changes nothing.
+        The view may be newer than the start of the watch if a peer was faster. It then
+        includes the events up to its revision, and applying them again changes nothing.
         """
         if changes.revision <= self._view.revision:
             return None
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/event_splitter.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cut a stream's bytes into whole events."""
+"""Split the bytes of an event stream into complete events."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event as it came, with its number."""
+    """One complete event as received, with its id."""
 
     body: bytes
     event_id: int | None
-    """The event's id; None for one that carries none, such as a comment."""
+    """Id of the event; None for an event without a numeric id, such as a comment."""
 
 
 class EventSplitter:
-    """Hold back the part of an event until the rest has come.
+    """Buffer an incomplete event until the rest of it has arrived.
 
-    A runner may stop in the middle of an event. Handing the part on would leave bytes
-    before the first event of the runner that goes on, seen as a garbled event.
+    A runner may fail in the middle of an event. If the incomplete event were forwarded,
+    its bytes would run into the first event of the runner that continues the stream,
+    and the caller would get a garbled event.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether the stream has stopped within an event."""
-        return bool(self._rest)
+        """Return whether the bytes so far end within an event."""
+        return bool(self._partial)
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that they complete."""
-        *whole, self._rest = (self._rest + chunk).split(EVENT_END)
-        return [StreamEvent(body + EVENT_END, _number_of(body)) for body in whole]
+        """Append bytes and return the events that they complete."""
+        *complete, self._partial = (self._partial + chunk).split(EVENT_END)
+        return [
+            StreamEvent(body + EVENT_END, _parse_event_id(body)) for body in complete
+        ]
 
 
-def _number_of(body: bytes) -> int | None:
+def _parse_event_id(body: bytes) -> int | None:
     for line in body.split(b"\n"):
         if not line.startswith(ID_FIELD):
             continue
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_connection_policy.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_connection_policy.py
@@ -1,31 +1,31 @@
-"""Whether connections that rested may carry calls that must not run twice."""
+"""Reuse of idle connections for calls that must not run twice."""
 
 from __future__ import annotations
 
-WARY_MS = 30_000.0
-"""How long a loss is remembered. Runners that forget resting connections do so for as
-long as what makes them do it lasts; a new connection costs a millisecond."""
+REUSE_PAUSE_MS = 30_000.0
+"""How long idle connections are not reused after a loss. Runners go on dropping idle
+connections for as long as the cause persists; a new connection costs a millisecond."""
 
 
 class IdleConnectionPolicy:
-    """Remember pools whose runners dropped a connection that rested.
+    """Track the pools whose runners dropped an idle connection.
 
-    A runner, or something on the way to it, may forget a resting connection without a
-    word; the next call on it is reset. An idempotent call goes on elsewhere. One that
-    must not run twice is lost: nothing says that it did not run. After a first such
-    loss these calls get connections of their own for a while, and only these.
+    A runner, or a device on the network path, may drop an idle connection silently; the
+    next call on it is reset. An idempotent call is retried on another runner. A call
+    that must not run twice is lost, because it may have run. After the first such loss
+    only calls of this kind get new connections for a while.
     """
 
     def __init__(self) -> None:
         self._lost_ms: dict[str, float] = {}
 
     def record_loss(self, pool: str, *, now_ms: float) -> bool:
-        """Note a call lost on a rested connection; return whether it is news."""
-        is_news = self.may_reuse(pool, now_ms=now_ms)
+        """Record a call lost on an idle connection; return if reuse was allowed."""
+        was_allowed = self.may_reuse(pool, now_ms=now_ms)
         self._lost_ms[pool] = now_ms
-        return is_news
+        return was_allowed
 
     def may_reuse(self, pool: str, *, now_ms: float) -> bool:
-        """Whether a resting connection to the pool's runners may carry any call."""
+        """Return whether idle connections to the pool's runners may carry any call."""
         lost_ms = self._lost_ms.get(pool)
-        return lost_ms is None or now_ms - lost_ms >= WARY_MS
+        return lost_ms is None or now_ms - lost_ms >= REUSE_PAUSE_MS
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/load_cap_share.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/load_cap_share.py
@@ -1,29 +1,34 @@
-"""Up to which load a call may follow its prompt to the runner that holds it."""
+"""Load up to which a call is routed to the runner that has its prompt cached."""
 
 from __future__ import annotations
 
 NO_PROMPT_CAP_SHARE = 0.8
-"""Of the operator's cap, for calls without a prompt; the rest is for grants that two
-homes give at once."""
-CHEAP_SHARE = 0.6
-"""For the shortest prompts: they are read elsewhere in a few ms."""
+"""Share of the operator's load cap for calls without a prompt. The rest of the cap is a
+reserve for slots that two home nodes grant at the same time."""
+SHORT_PROMPT_CAP_SHARE = 0.6
+"""Share for the shortest prompts: another runner computes them within a few ms."""
 LONG_PROMPT_CAP_SHARE = 0.95
-"""For long prompts. What is left of the cap is for grants that two homes give at once;
-the operator's rule on load held in all plays that compared this with 0.8."""
-DEAR_TOKENS = 3_000
-"""Prompts from this length on are dear. With 96 kB of memory a token and 92 tokens read
-in a ms, as engines were seen to have, moving one takes 0.3 GB and reading it 33 ms."""
+"""Share for long prompts. The rest of the cap is a reserve for slots that two home
+nodes grant at the same time; the operator's cap held with 0.95 as it did with 0.8."""
+LONG_PROMPT_TOKENS = 3_000
+"""Prompts of at least this length count as long. At 96 kB of cache per token and a
+prefill rate of 92 tokens per ms, such a prompt takes 0.3 GB to move and 33 ms to
+compute."""
 
 
 def load_cap_share(prompt_tokens: int) -> float:
-    """Return the share of the operator's cap up to which a call may go.
+    """Return the share of the operator's load cap up to which a runner takes a call.
 
-    A runner at its bound turns calls away in the order of their arrival. Most that
-    arrive are short and hold their slots long, so they fill it, and long prompts are
-    read elsewhere for want of a slot: each costs ten times what a short one costs. With
-    a lower bound for cheap calls, these give way while there is room for dear ones.
+    A runner at its load bound rejects calls in order of arrival. Most calls have short
+    prompts and hold their slots for long, so they fill the runner, and long prompts are
+    computed again on other runners at ten times the cost of a short one. With a lower
+    bound for short prompts, these go to other runners while there is still room for
+    long ones.
     """
     if not prompt_tokens:
         return NO_PROMPT_CAP_SHARE
-    dearness = min(1.0, prompt_tokens / DEAR_TOKENS)
-    return CHEAP_SHARE + (LONG_PROMPT_CAP_SHARE - CHEAP_SHARE) * dearness
+    length_share = min(1.0, prompt_tokens / LONG_PROMPT_TOKENS)
+    return (
+        SHORT_PROMPT_CAP_SHARE
+        + (LONG_PROMPT_CAP_SHARE - SHORT_PROMPT_CAP_SHARE) * length_share
+    )
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_holders.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_holders.py
@@ -1,4 +1,4 @@
-"""Which runner answered the calls of a prompt last, as this node saw it."""
+"""Runners that probably have a prompt cached, from the responses this node has seen."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 if TYPE_CHECKING:
     from clementineyoke_core.runner import Runner
 
-TRUSTED_MS = 20_000.0
-"""How long a runner is taken to hold a prompt that it has read: by then others may have
-taken its place in the cache."""
-MOST_PROMPTS = 4_096
-"""Prompts that are remembered, 0.7 MB; after that all are learned anew."""
+HOLDER_TTL_MS = 20_000.0
+"""How long a runner is assumed to have a prompt cached. After that, other prompts may
+have evicted it."""
+MAX_PROMPTS = 4_096
+"""Remembered prompts, 0.7 MB in all; a full table is cleared."""
 
 
-class _Holding(NamedTuple):
+class _Holder(NamedTuple):
     runner: Runner
-    at_ms: float
+    answered_ms: float
 
 
 class PromptHolders:
-    """Remember where prompts lie, for runners that are to fetch them from each other.
+    """Remember which runner has a prompt cached, so that others can fetch it.
 
-    The order of a prompt's runners tells where it should lie, not where it does. A
-    runner that joins stands first in the order of prompts that it has never read.
-    Fetched by that order they are read again, while the runner that has held them all
-    along is not asked.
+    The hash ring's order of runners says where a prompt should be cached, not where it
+    is. A runner that joins is first in the order of prompts that it has never read. If
+    prompts were fetched in ring order, they would be computed again while the runner
+    that has them cached is not asked.
     """
 
     def __init__(self) -> None:
-        self._holdings: dict[int, _Holding] = {}
+        self._holders: dict[int, _Holder] = {}
 
     def record_answer(self, key: int, runner: Runner, *, now_ms: float) -> None:
-        """Note that a runner has begun to answer a call of a prompt."""
-        if len(self._holdings) >= MOST_PROMPTS:
-            self._holdings.clear()
-        self._holdings[key] = _Holding(runner, now_ms)
+        """Record that a runner has started to answer a call with a prompt."""
+        if len(self._holders) >= MAX_PROMPTS:
+            self._holders.clear()
+        self._holders[key] = _Holder(runner, now_ms)
 
     def last_holder(self, key: int, *, now_ms: float) -> Runner | None:
-        """Return the runner that answered last, unless that was long ago."""
-        holding = self._holdings.get(key)
-        if holding is None or now_ms - holding.at_ms > TRUSTED_MS:
+        """Return the runner that answered last; None if its entry has expired."""
+        holder = self._holders.get(key)
+        if holder is None or now_ms - holder.answered_ms > HOLDER_TTL_MS:
             return None
-        return holding.runner
+        return holder.runner
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_key.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/prompt_key.py
@@ -1,4 +1,4 @@
-"""By which key a call with a prompt finds its runner."""
+"""Routing key that sends calls with the same prompt prefix to the same runner."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that runners cache under its id."""
+    """Part of a prompt; runners cache prompts by part id."""
 
     part_id: str
     tokens: int
 
 
 def prompt_key(parts: Sequence[PromptPart], *, model: str) -> int | None:
-    """Return the key of the longest shared beginning, or None without parts.
+    """Return the key of the longest shared prefix; None for a prompt without parts.
 
-    The last part is the request's own, so the one before it decides: it stands for
-    the whole beginning that other requests share.
+    The last part belongs to this request alone. The part before it identifies the whole
+    prefix that the request shares with others.
     """
     if not parts:
         return None
-    deciding = parts[-2] if len(parts) > 1 else parts[-1]
-    return hash_text(f"{model}\0{deciding.part_id}")
+    key_part = parts[-2] if len(parts) > 1 else parts[-1]
+    return hash_text(f"{model}\0{key_part.part_id}")
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
@@ -1,21 +1,21 @@
-"""One node's share of the fleet's budget for second tries."""
+"""One node's share of the fleet's retry budget."""
 
 from __future__ import annotations
 
 from collections import deque
 
-SAFETY = 0.7
-"""Share of the budget that is spent: nodes' views of how many share it differ for
-seconds, and a restarted node has forgotten what it spent."""
+SAFETY_FACTOR = 0.7
+"""Share of the budget that is used. The nodes' views of the fleet's size differ for
+seconds, and a restarted node does not know its earlier retries."""
 
 
 class RetryWindow:
-    """Bound one pool's second tries over a sliding window.
+    """Limit the retries of each pool over a sliding window.
 
-    When many runners fail at once every call wants a second try. Without a bound the
-    rest would get twice their load at the worst moment. The operator's budget is over
-    all nodes; each takes its own calls' part of the ratio and an even part of the
-    fixed allowance.
+    When many runners fail at once, every call asks for a retry. Without a limit the
+    remaining runners would get twice their load at the worst moment. The operator's
+    budget is for all nodes together; each node uses the ratio for its own calls and an
+    equal share of the fixed allowance.
     """
 
     def __init__(self, *, ratio: float, allowance: float, window_ms: float) -> None:
@@ -26,28 +26,28 @@
         self._retries: dict[str, deque[float]] = {}
 
     def record_call(self, pool: str, *, now_ms: float) -> None:
-        """Note a caller's call for a pool."""
+        """Record a caller's call for a pool."""
         calls = self._calls.setdefault(pool, deque())
         calls.append(now_ms)
-        self._drop_old(calls, now_ms)
+        self._drop_expired(calls, now_ms)
 
     def try_spend(self, pool: str, *, node_count: int, now_ms: float) -> bool:
-        """Take one second try for a pool, or return False when none is left."""
+        """Consume one retry of a pool; return False if none is left."""
         if not self.has_budget(pool, node_count=node_count, now_ms=now_ms):
             return False
         self._retries[pool].append(now_ms)
         return True
 
     def has_budget(self, pool: str, *, node_count: int, now_ms: float) -> bool:
-        """Whether a second try is left for a pool."""
+        """Return whether a pool has a retry left."""
         calls = self._calls.setdefault(pool, deque())
         retries = self._retries.setdefault(pool, deque())
-        self._drop_old(calls, now_ms)
-        self._drop_old(retries, now_ms)
+        self._drop_expired(calls, now_ms)
+        self._drop_expired(retries, now_ms)
         allowance = self._allowance / max(1, node_count)
-        most = SAFETY * (self._ratio * len(calls) + allowance)
-        return len(retries) + 1 <= most
+        max_retries = SAFETY_FACTOR * (self._ratio * len(calls) + allowance)
+        return len(retries) + 1 <= max_retries
 
-    def _drop_old(self, times_ms: deque[float], now_ms: float) -> None:
+    def _drop_expired(self, times_ms: deque[float], now_ms: float) -> None:
         while times_ms and times_ms[0] <= now_ms - self._window_ms:
             times_ms.popleft()
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/route.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/route.py
@@ -1,4 +1,4 @@
-"""One route of the desired state."""
+"""Routes of the desired state."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 class Route(NamedTuple):
-    """Which calls it takes, where they go and what may be done for them."""
+    """A route: the calls it matches, the pools that serve them, and their limits."""
 
     name: str
     hostname: str
     path_prefix: str
-    """Begins and ends with a slash."""
+    """Path prefix; it begins and ends with a slash."""
     kind: CallKind
     pools: tuple[WeightedPool, ...]
     timeout_ms: float
-    """The operator's limit from a call's arrival to the end of its answer."""
+    """Operator's limit on the time from a call's arrival to the end of its response."""
     objective_ms: float
-    """Time to the whole answer, or to a stream's first event, that counts as good."""
+    """Latency objective for the complete response or a stream's first event."""
     pause_objective_ms: float
-    """Longest pause between a stream's events that counts as good; 0 without one."""
+    """Objective for the gap between a stream's events; 0 if there is none."""
     priority: int
-    """0 is the most urgent."""
+    """Priority of the calls; 0 is the most urgent."""
     max_runners: int
-    """To how many runners one call may be sent."""
+    """Number of runners to which one call may be sent."""
     is_public: bool
-    """Whether calls need no key."""
+    """Whether calls need no API key."""
     is_resumable: bool
-    """Whether a broken stream may go on at another runner."""
+    """Whether a broken stream may be continued by another runner."""
     has_prompt: bool
     """Whether calls carry prompt parts that runners cache."""
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a call may run more than once."""
+        """Return whether a call may run more than once."""
         if self.kind is CallKind.STREAM:
             return self.is_resumable
         return self.kind is CallKind.IDEMPOTENT
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/route_table.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/route_table.py
@@ -1,4 +1,4 @@
-"""Look up routes and keys in the desired state that is in force."""
+"""Lookup of routes and API keys in the desired state."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class RouteMatch(NamedTuple):
-    """What a lookup found, with the version that it rests on."""
+    """Result of a route lookup, with the version of the desired state it is from."""
 
     route: Route | None
     version: int
 
 
 class RouteTable:
-    """One desired state, indexed; replaced as a whole when a newer one comes.
+    """Index of one desired state; replaced as a whole by a newer state's index.
 
-    A request takes the table once and decides everything by it. Reading routes and
-    keys from two states would let a request pass by the route of one and the key of
-    the other, seen as a refusal that neither state explains.
+    All decisions about a request use one table. If route and key were read from two
+    states, a request could be admitted by the route of one and the key of the other, or
+    refused although neither state explains the refusal.
     """
 
     def __init__(self, *, state: DesiredState) -> None:
@@ -33,10 +33,10 @@
         self._teams = {key: team for team in state.teams for key in team.keys}
 
     def match(self, hostname: str, path: str) -> RouteMatch:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix of the path.
 
         Prefixes end with a slash, so only the path's slashes have to be tried: a
-        state with hundreds of routes costs no more than one with five.
+        lookup among hundreds of routes costs no more than one among five.
         """
         prefixes = self._by_host.get(hostname.lower(), {})
         end = path.rfind("/")
@@ -48,5 +48,5 @@
         return RouteMatch(None, self.state.version)
 
     def team_of(self, key: str) -> Team | None:
-        """Return the team that holds a key."""
+        """Return the team of an API key; None if the key is unknown."""
         return self._teams.get(key)
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
@@ -1,4 +1,4 @@
-"""Every runner that the store holds, with care for what lapsed in an outage."""
+"""Directory of the runners in the store; keeps entries that lapse in a store outage."""
 
 from __future__ import annotations
 
@@ -12,89 +12,91 @@
 if TYPE_CHECKING:
     from clementineyoke_core.runner import Runner
 
-RETURN_TIME_MS = 2_200.0
-"""Entries that lapsed with the store are back about 2 s after its return, which a node
-notices some hundred ms late. A node that was cut off for itself is bound by the store's
-word again 3 s after its cut; with 2,500 ms and a late notice of 340 ms it still sent
-calls to a runner that had left."""
-FIRST_LOOK_MS = 50.0
-"""After a node has noticed the store's return: what it is shown within this time may
-have happened in the outage. The first answer is taken in the same turn of the loop."""
-MOST_DRAINING = 1_024
-"""Lifetimes known to drain; beyond a day's restarts the oldest is forgotten."""
-LIVE_END_SHARE = 0.7
-"""Longest wait for a runner whose entry was seen to end with the store there, as a
-share of the operator's bound on new work for leaving runners."""
+RETURN_GRACE_MS = 2_200.0
+"""How long runners have to renew entries that lapsed in an outage. They take about 2 s
+after the store's recovery, which a node notices some hundred ms late. A node that alone
+was cut off must follow the store again 3 s after the cut has ended; with 2,500 ms and a
+recovery noticed 340 ms late it still sent calls to a runner that had left."""
+FIRST_READ_MS = 50.0
+"""Changes read within this time after a node has noticed the store's recovery may have
+happened in the outage. The first response is processed in the same turn of the event
+loop."""
+MAX_DRAINING = 1_024
+"""Remembered lifetimes of draining runners, more than a day's restarts; beyond that the
+oldest is dropped."""
+MAX_LIVE_WAIT_SHARE = 0.7
+"""Maximum wait for a runner whose entry ended while the store was available, as a share
+of the operator's bound on new work for leaving runners."""
 
 
 class LapsedRecord(NamedTuple):
-    """An entry that vanished in an outage, and how long to wait for its return."""
+    """An entry that lapsed in an outage, and how much longer its runner may return."""
 
     record: RunnerRecord
     wait_ms: int
 
 
 class DirectoryView(NamedTuple):
-    """The directory as one node hands it to another."""
+    """Snapshot of the directory, as one node sends it to another."""
 
     revision: int
-    """As of which revision of the store."""
+    """Store revision of the snapshot."""
     records: tuple[RunnerRecord, ...]
     lapsed: tuple[LapsedRecord, ...] = ()
-    """Entries that vanished in an outage and whose runners may yet return."""
+    """Entries that lapsed in an outage and whose runners may still return."""
     in_outage: bool = False
-    """Whether the sender finds the store away: more may vanish for that reason."""
+    """Whether the sender sees a store outage, in which more entries may lapse."""
 
 
 class RunnerRemoval(NamedTuple):
-    """The end of an entry."""
+    """The end of a runner's entry."""
 
     runner_id: str
     revision: int
     wait_ms: int = 0
-    """How much longer its runner may yet return; above 0 if it ended in an outage."""
+    """How much longer the runner may return; above 0 if it lapsed in an outage."""
     born_ms: int = 0
-    """Which lifetime the entry was of; 0 if it did not say."""
+    """Start time of the lifetime that wrote the entry; 0 if unknown."""
     is_refused: bool = False
-    """Whether the entry is still there and names no runner that can be used."""
+    """Whether the entry still exists but describes no usable runner."""
 
 
 class DirectoryChanges(NamedTuple):
-    """Everything that changed between two revisions of the store."""
+    """All changes to runners between two store revisions."""
 
     base_revision: int
-    """The changes follow on any view from here on."""
+    """The changes can be applied to any view of this revision or later."""
     revision: int
     records: tuple[RunnerRecord, ...]
     removals: tuple[RunnerRemoval, ...]
 
 
 class RunnerDirectory:
-    """Hold runners' entries; never go back to an older view of the store.
+    """Hold the runners' entries; never revert to an older view of the store.
 
-    While the store is away runners cannot renew their entries and they lapse, though
-    the runners live. Taking that for their end would leave no runner at all, seen as a
-    fleet that refuses everything for seconds after each outage. An entry that vanished
-    in an outage is therefore kept until its runner has had time to return.
+    In a store outage runners cannot renew their entries, so the entries lapse although
+    the runners are alive. If lapsed entries were removed, no runner would be left and
+    the fleet would refuse all calls for seconds after each outage. An entry that
+    disappears in an outage is therefore kept until its runner has had time to renew it.
 
     Entries lapse only in an outage that affects the whole fleet. While the store still
     answers peers, runners renew their entries even if this node's own calls fail, so an
-    entry that vanishes then has ended.
+    entry that disappears then has ended.
 
-    A runner may start anew under its id. What the lifetime before it wrote or tells
-    late then changes nothing: seen otherwise as a new runner that is taken for a
-    leaving one, or that is dropped with its predecessor's entry.
+    A runner may restart under its id. Late writes and reports of the previous lifetime
+    are then ignored. Otherwise the new lifetime would be treated as leaving, or dropped
+    together with its predecessor's entry.
 
-    A lifetime that signals in an answer that it drains stays draining, whatever its
-    entry says: the entry may be older, and is not renewed while the store is away.
+    A lifetime that signals in a response that it is draining stays draining, whatever
+    its entry says: the entry may be older, and is not renewed in a store outage.
     """
 
     def __init__(self, *, drain_within_ms: float) -> None:
-        self._longest_live_wait_ms = LIVE_END_SHARE * drain_within_ms
+        self._max_live_wait_ms = MAX_LIVE_WAIT_SHARE * drain_within_ms
         self._records: dict[str, RunnerRecord] = {}
         self._lapsed: dict[str, float] = {}
         self._draining: dict[str, None] = {}
-        """Lifetimes that signalled in an answer that they drain, the oldest first."""
+        """Lifetimes that signalled in a response that they drain, oldest first."""
         self._is_store_unreachable = False
         """Whether this node's calls to the store fail."""
         self._was_failure_local = False
@@ -102,8 +104,8 @@
         self._last_store_answer_ms = -math.inf
         """Time of the latest known answer from the store to any node."""
         self._answering_since_ms: float | None = None
-        """Start of the current run of store answers; None once calls start to fail."""
-        self._outage_ended_ms = -RETURN_TIME_MS
+        """Start of the current series of store answers; None after failed calls."""
+        self._outage_ended_ms = -RETURN_GRACE_MS
         self.revision = 0
 
     def records(self) -> list[RunnerRecord]:
@@ -111,58 +113,58 @@
         return list(self._records.values())
 
     def view(self, *, now_ms: float) -> DirectoryView:
-        """Return what to hand to another node.
+        """Return a snapshot for another node.
 
-        Lapsed entries go by themselves: the other node must neither drop them at once
-        nor hold them for good.
+        Lapsed entries are listed separately: the other node must neither drop them at
+        once nor keep them forever.
         """
-        held: list[RunnerRecord] = []
+        current: list[RunnerRecord] = []
         lapsed: list[LapsedRecord] = []
         for runner_id, record in self._records.items():
             if runner_id in self._lapsed:
                 wait_ms = self.wait_ms(runner_id, now_ms=now_ms)
                 lapsed.append(LapsedRecord(record, wait_ms))
             else:
-                held.append(record)
+                current.append(record)
         return DirectoryView(
-            self.revision, tuple(held), tuple(lapsed), self.in_outage(now_ms=now_ms)
+            self.revision, tuple(current), tuple(lapsed), self.in_outage(now_ms=now_ms)
         )
 
     def in_outage(self, *, now_ms: float) -> bool:
-        """Whether this node's calls to the store fail because of a store outage.
+        """Return whether this node's calls to the store fail because of a store outage.
 
-        False once the store has answered peers for the return time: after an outage
-        this node's own calls would have succeeded by then.
+        This is false once the store has answered peers for the grace period: after an
+        outage this node's own calls would have succeeded by then.
         """
         if not self._is_store_unreachable:
             return False
-        if now_ms - self._last_store_answer_ms > RETURN_TIME_MS:
+        if now_ms - self._last_store_answer_ms > RETURN_GRACE_MS:
             return True
         since_ms = self._answering_since_ms
         return since_ms is None or (
-            self._last_store_answer_ms - since_ms < RETURN_TIME_MS
+            self._last_store_answer_ms - since_ms < RETURN_GRACE_MS
         )
 
     def record_store_failure(self) -> None:
-        """Note that the store does not answer this node."""
+        """Record that the store does not answer this node."""
         if not self._is_store_unreachable:
             self._answering_since_ms = None
         self._is_store_unreachable = True
 
     def record_store_answer(self, *, at_ms: float) -> None:
-        """Note that the store answered this node or a peer."""
+        """Record that the store answered this node or a peer."""
         if at_ms <= self._last_store_answer_ms:
             return
-        is_after_gap = at_ms - self._last_store_answer_ms > RETURN_TIME_MS
+        is_after_gap = at_ms - self._last_store_answer_ms > RETURN_GRACE_MS
         if is_after_gap or self._answering_since_ms is None:
             self._answering_since_ms = at_ms
         self._last_store_answer_ms = at_ms
 
     def record_store_recovery(self, *, now_ms: float) -> None:
-        """Note that the store answers this node again.
+        """Record that the store answers this node again.
 
-        Several kinds of calls report their recovery. All of them use the cause found
-        at the first one, as later ones no longer see the failure.
+        Several kinds of store calls report their recovery. All of them use the cause
+        determined at the first one, as the later ones no longer see the failure.
         """
         if self._is_store_unreachable:
             self._was_failure_local = not self.in_outage(now_ms=now_ms)
@@ -171,23 +173,25 @@
             return
         self._outage_ended_ms = now_ms
         for runner_id in self._lapsed:
-            self._lapsed[runner_id] = now_ms + RETURN_TIME_MS
+            self._lapsed[runner_id] = now_ms + RETURN_GRACE_MS
 
     def replace(self, view: DirectoryView, *, now_ms: float) -> bool:
-        """Take the whole list as of a revision; return whether anything changed."""
+        """Replace the directory by a newer view; return whether anything changed."""
         if view.revision <= self.revision:
             return False
         if view.in_outage and not self.revision:
-            # A node that has just started has not met the outage itself.
+            # A node that has just started has not seen the outage itself.
             self._outage_ended_ms = max(self._outage_ended_ms, now_ms)
         before = dict(self._records)
-        fresh = {record.runner.runner_id: record for record in view.records}
+        received = {record.runner.runner_id: record for record in view.records}
         waited_for = {lapsed.record.runner.runner_id: lapsed for lapsed in view.lapsed}
-        for runner_id in before.keys() - fresh.keys():
-            told = waited_for.get(runner_id)
-            until_ms = self._wait_until_ms(now_ms, 0 if told is None else told.wait_ms)
+        for runner_id in before.keys() - received.keys():
+            reported = waited_for.get(runner_id)
+            until_ms = self._wait_until_ms(
+                now_ms, 0 if reported is None else reported.wait_ms
+            )
             self._remove(runner_id, now_ms, until_ms)
-        for record in fresh.values():
+        for record in received.values():
             self._put(record)
         if not self.revision:
             self._adopt_lapsed(view.lapsed, now_ms)
@@ -195,22 +199,24 @@
         return before != self._records
 
     def apply(self, changes: DirectoryChanges, *, now_ms: float) -> bool:
-        """Take what the store told this node or a peer; return whether runners changed.
+        """Apply changes from the store or a peer; return whether runners changed.
 
-        An entry may have come back since its removal, as a quicker peer has told; the
-        late word of its end then changes nothing.
+        If a faster peer has already reported that an entry has come back since its
+        removal, the late report of the removal changes nothing.
         """
-        removed = [self._end(ended, now_ms) for ended in changes.removals]
-        put = [self._put(record) for record in changes.records if self._is_news(record)]
+        removed = [self._apply_removal(removal, now_ms) for removal in changes.removals]
+        put = [
+            self._put(record) for record in changes.records if self._may_exist(record)
+        ]
         self.revision = max(self.revision, changes.revision)
         return any(removed) or any(put)
 
     def record_draining(self, runner: Runner) -> DirectoryChanges | None:
-        """Note that a runner signalled in an answer that it drains.
+        """Record that a runner signalled in a response that it is draining.
 
-        Returns what to tell other nodes, or None if nothing changed here.
+        Return the change to send to other nodes, or None if nothing changed here.
         """
-        self._note_draining(runner)
+        self._remember_draining(runner)
         known = self._records.get(runner.runner_id)
         if known is None or not self._mark_draining(known, runner):
             return None
@@ -218,44 +224,45 @@
         return DirectoryChanges(self.revision, self.revision, (record,), ())
 
     def is_newer(self, record: RunnerRecord) -> bool:
-        """Whether a record is newer than what is known of its runner."""
+        """Return whether a record is newer than the known record of its runner."""
         known = self._records.get(record.runner.runner_id)
         return known is None or known.revision < record.revision
 
     def is_newest(self, record: RunnerRecord) -> bool:
-        """Whether a record is the newest that is known of its runner."""
+        """Return whether a record is the latest known one of its runner."""
         known = self._records.get(record.runner.runner_id)
         return known is not None and known.revision == record.revision
 
     def is_contiguous_with(self, changes: DirectoryChanges) -> bool:
-        """Whether nothing is missing between this directory and the changes."""
+        """Return whether no revision is missing between directory and changes."""
         return 0 < self.revision >= changes.base_revision
 
     def lapsed_ids(self) -> set[str]:
-        """Return the ids of runners that have lost their entries and may yet return."""
+        """Return the ids of runners whose entries have lapsed and who may return."""
         return set(self._lapsed)
 
     def wait_ms(self, runner_id: str, *, now_ms: float) -> int:
-        """Return how much longer a runner may return; 0 for one that is not lapsed."""
+        """Return how much longer a lapsed runner may return; 0 for any other runner."""
         until_ms = self._lapsed.get(runner_id, now_ms)
         return max(0, int(until_ms - now_ms))
 
     def drop_lapsed(self, *, now_ms: float) -> list[str]:
-        """Drop entries whose runners did not return in time, and return their ids."""
-        gone = [
+        """Drop lapsed entries whose time is over; return their runners' ids."""
+        expired = [
             runner_id
             for runner_id, until_ms in self._lapsed.items()
             if until_ms <= now_ms
         ]
-        for runner_id in gone:
+        for runner_id in expired:
             self._drop(runner_id)
-        return gone
+        return expired
 
-    def _is_news(self, record: RunnerRecord) -> bool:
-        """Whether a told entry is newer than this view, which is whole up to then.
+    def _may_exist(self, record: RunnerRecord) -> bool:
+        """Return whether a reported entry may still exist.
 
-        A datagram may come after the one that told of the entry's end: what is not
-        known here as of a later revision has ended, and would get calls for good.
+        The directory is complete up to its revision, so an entry that is unknown here
+        and not newer has ended. Its datagram may arrive after the one that reported its
+        end; if it were added again, its runner would get calls forever.
         """
         is_known = record.runner.runner_id in self._records
         return is_known or record.revision > self.revision
@@ -265,11 +272,11 @@
         known = self._records.get(runner_id)
         if known is not None:
             if known.revision >= record.revision:
-                # Old news of an entry that may have ended since: no sign of its return.
-                # Another node may have learnt from an answer that its runner drains.
+                # An old record does not show that the entry has come back. But another
+                # node may have learnt from a response that the runner is draining.
                 return record.is_leaving and self._mark_draining(known, record.runner)
             if record.runner.born_ms < known.runner.born_ms:
-                # A write of the lifetime before, done late by the store.
+                # A late write of the previous lifetime.
                 return False
         if record.runner.lifetime in self._draining:
             record = record._replace(is_leaving=True)
@@ -278,41 +285,41 @@
         return known is None or known[:2] != record[:2]
 
     def _mark_draining(self, known: RunnerRecord, runner: Runner) -> bool:
-        """Mark a known runner as draining; return whether that is news."""
+        """Mark a known runner as draining; return whether the record changed."""
         if known.is_leaving or known.runner.lifetime != runner.lifetime:
             return False
-        self._note_draining(runner)
+        self._remember_draining(runner)
         self._records[runner.runner_id] = known._replace(is_leaving=True)
         return True
 
-    def _note_draining(self, runner: Runner) -> None:
+    def _remember_draining(self, runner: Runner) -> None:
         self._draining[runner.lifetime] = None
-        if len(self._draining) > MOST_DRAINING:
+        if len(self._draining) > MAX_DRAINING:
             del self._draining[next(iter(self._draining))]
 
-    def _end(self, ended: RunnerRemoval, now_ms: float) -> bool:
-        record = self._records.get(ended.runner_id)
-        if record is None or record.revision > ended.revision:
+    def _apply_removal(self, removal: RunnerRemoval, now_ms: float) -> bool:
+        record = self._records.get(removal.runner_id)
+        if record is None or record.revision > removal.revision:
             return False
-        if ended.is_refused:
-            self._drop(ended.runner_id)
+        if removal.is_refused:
+            self._drop(removal.runner_id)
             return True
-        if 0 < ended.born_ms < record.runner.born_ms:
-            # The entry of the lifetime before it; the new one enters itself again.
-            return self._remove(ended.runner_id, now_ms, now_ms + RETURN_TIME_MS)
-        if not ended.wait_ms:
-            # Whoever was cut off takes an end for a lapse and tells so. The word of one
-            # that saw it with the store well counts more; what this node itself knows
-            # of an outage still decides.
-            self._lapsed.pop(ended.runner_id, None)
-        until_ms = self._wait_until_ms(now_ms, ended.wait_ms)
-        if not ended.wait_ms and not self._is_first_look(now_ms):
-            # Seen as it happened, so hardly a lapse; if it is the runner's leaving, the
-            # operator's bound runs from now.
-            until_ms = min(until_ms, now_ms + self._longest_live_wait_ms)
-        return self._remove(ended.runner_id, now_ms, until_ms)
-
-    def _wait_until_ms(self, now_ms: float, told_wait_ms: int) -> float:
+        if 0 < removal.born_ms < record.runner.born_ms:
+            # The entry of the previous lifetime; the new one writes its own again.
+            return self._remove(removal.runner_id, now_ms, now_ms + RETURN_GRACE_MS)
+        if not removal.wait_ms:
+            # A node that was cut off mistakes an end for a lapse and reports it as one.
+            # A report from a node that saw the end while the store was available
+            # overrides it, unless this node itself knows of an outage.
+            self._lapsed.pop(removal.runner_id, None)
+        until_ms = self._wait_until_ms(now_ms, removal.wait_ms)
+        if not removal.wait_ms and not self._may_date_from_outage(now_ms):
+            # The end was seen when it happened, so it is unlikely to be a lapse. If the
+            # runner is leaving, the operator's bound counts from now.
+            until_ms = min(until_ms, now_ms + self._max_live_wait_ms)
+        return self._remove(removal.runner_id, now_ms, until_ms)
+
+    def _wait_until_ms(self, now_ms: float, reported_wait_ms: int) -> float:
         """Return until when to wait for a runner whose entry is gone.
 
         A peer may mistake its own lost connection to the store for an outage. The wait
@@ -320,17 +327,17 @@
         operator's bound.
         """
         if self.in_outage(now_ms=now_ms):
-            return now_ms + RETURN_TIME_MS
-        told_until_ms = now_ms + min(told_wait_ms, self._longest_live_wait_ms)
-        return max(told_until_ms, self._outage_ended_ms + RETURN_TIME_MS)
+            return now_ms + RETURN_GRACE_MS
+        reported_until_ms = now_ms + min(reported_wait_ms, self._max_live_wait_ms)
+        return max(reported_until_ms, self._outage_ended_ms + RETURN_GRACE_MS)
 
-    def _is_first_look(self, now_ms: float) -> bool:
-        """Whether the store is away, or what it shows may have happened meanwhile."""
+    def _may_date_from_outage(self, now_ms: float) -> bool:
+        """Return whether a change read now may have happened in an outage."""
         since_return_ms = now_ms - self._outage_ended_ms
-        return self.in_outage(now_ms=now_ms) or since_return_ms < FIRST_LOOK_MS
+        return self.in_outage(now_ms=now_ms) or since_return_ms < FIRST_READ_MS
 
     def _remove(self, runner_id: str, now_ms: float, until_ms: float) -> bool:
-        """Drop an entry, or wait for its runner; return whether runners changed."""
+        """Drop an entry or mark it as lapsed; return whether runners changed."""
         record = self._records.get(runner_id)
         if record is None or runner_id in self._lapsed:
             return False
@@ -345,11 +352,11 @@
         self._records.pop(runner_id, None)
 
     def _adopt_lapsed(self, lapsed: tuple[LapsedRecord, ...], now_ms: float) -> None:
-        """Take over what a peer waits for.
+        """Adopt the lapsed entries of a peer.
 
-        Only a node that knows nothing yet does so: one that has seen an entry end
-        while the store was well would bring back a runner that leaves, seen as new
-        work there seconds after its end.
+        Only a node without any view does so. A node that has seen an entry end while
+        the store was available would bring back a leaving runner and send it new work
+        seconds after the entry's end.
         """
         for record, wait_ms in lapsed:
             if not record.is_leaving:
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_record.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_record.py
@@ -1,4 +1,4 @@
-"""A runner's own entry in the store."""
+"""Decoded entry that a runner writes to the store."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RunnerRecord(NamedTuple):
-    """What a runner says of itself, and as of which revision."""
+    """A runner as described by its own entry, with the entry's store revision."""
 
     runner: Runner
     is_leaving: bool
     revision: int
     cold_ms: float = 0.0
-    """How much longer it is cold, from when it is heard."""
+    """How much longer the runner is cold, counted from when the record is received."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/startup_wait.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/startup_wait.py
@@ -1,24 +1,22 @@
-"""How long calls wait for the first desired state of a node that has just started."""
+"""Waiting of calls for the first desired state of a node that has just started."""
 
 from __future__ import annotations
 
-START_MS = 500.0
-"""After its start a node whose store or peers are well has a state within 20 ms. This
-is twice the longest wait: what has not come by then will hardly come in time."""
-LONGEST_WAIT_MS = 250.0
-"""What is left of the shortest objectives (300 ms) is for the answer itself."""
-MOST_WAITING = 256
-"""Calls that wait at once: with bodies of 18 kB, the largest mean of a kind of request
-that was seen, 4.6 MB."""
+STARTUP_MS = 500.0
+"""How long after its start a node expects the first state. A node that can reach the
+store or peers has it within 20 ms; twice the maximum wait covers slow responses."""
+MAX_WAIT_MS = 250.0
+"""The shortest latency objectives are 300 ms; the rest is for the response itself."""
+MAX_WAITING_CALLS = 256
+"""At a mean body size of 18 kB, the largest of any kind of request, they use 4.6 MB."""
 
 
 class StartupWait:
-    """Let calls wait for a node's first state, while it can be expected.
+    """Let calls wait for a node's first state while it is expected soon.
 
-    A node that has just started refused what came in its first moment with a time to
-    return of 1 to 3 s, though the state was there 20 ms later: seen as callers that are
-    late by seconds after each restart. Once the state is overdue there is nothing to
-    wait for, and callers are told at once.
+    Without the wait, a node that has just started refuses its first calls with a
+    Retry-After of 1 to 3 s although the state arrives 20 ms later, so callers are late
+    by seconds after each restart. Once the state is overdue, calls are refused at once.
     """
 
     def __init__(self) -> None:
@@ -26,17 +24,20 @@
         self._waiting = 0
 
     def record_start(self, *, now_ms: float) -> None:
-        """Note the node's start."""
+        """Record the start of the node."""
         self._started_ms = now_ms
 
     def begin_wait(self, *, now_ms: float) -> float:
-        """Return how long a call may wait, 0 for not at all; ``leave`` follows."""
+        """Return how long a call may wait; 0 if it must not wait.
+
+        Each call must be followed by ``end_wait``, also after a result of 0.
+        """
         self._waiting += 1
-        if self._waiting > MOST_WAITING:
+        if self._waiting > MAX_WAITING_CALLS:
             return 0.0
-        left_ms = self._started_ms + START_MS - now_ms
-        return max(0.0, min(LONGEST_WAIT_MS, left_ms))
+        remaining_ms = self._started_ms + STARTUP_MS - now_ms
+        return max(0.0, min(MAX_WAIT_MS, remaining_ms))
 
     def end_wait(self) -> None:
-        """Note that a call waits no longer."""
+        """Record that a call has stopped waiting."""
         self._waiting -= 1
--- a/packages/clementineyoke-core/tests/edge/admission.feature
+++ b/packages/clementineyoke-core/tests/edge/admission.feature
@@ -1,30 +1,28 @@
-Feature: Admission by the desired state in force
+Feature: Admission of calls by the desired state in force
 
-  Scenario: No desired state is known yet
-    # Symptom: callers are told that their route does not exist, right after a restart.
-    # Sequence: a node starts while the store is away and gets a call.
-    # Cause: no state was taken for a state without routes.
+  Scenario: A node without a desired state refuses calls with a Retry-After
+    # A node without a state must not answer 404: the route may exist. It has none if it
+    # starts while the store is unreachable.
     Given no desired state
-    When a call for "shop.example/a/b" with the key "k1" comes
-    Then it is refused with 503 and a time to return
+    When a call for "shop.example/a/b" with the key "k1" arrives
+    Then it is refused with 503 and a Retry-After
 
-  Scenario: Callers come back to a node without a state
-    # Symptom: after an outage with a restart, callers are refused twice and give up.
-    # Sequence: the store is away for 2 s more; callers come back after 0.3 s, once.
-    # Cause: the time to return was one constant, whatever the caller could wait.
+  Scenario: The Retry-After of a node without a state depends on the caller's time budget
+    # With one constant Retry-After, callers that retry once came back after 0.3 s, were
+    # refused again and gave up, while the store was unreachable for 2 s more.
     Given no desired state
-    When 200 callers that wait 12000 ms are refused
-    Then they come back between 1200 and 2500 ms later, spread over that time
-    When 200 callers that wait 1500 ms are refused
-    Then they come back between 200 and 450 ms later, spread over that time
+    When 200 callers with a time budget of 12000 ms are refused
+    Then they are to retry after 1200 to 2500 ms, spread over that range
+    When 200 callers with a time budget of 1500 ms are refused
+    Then they are to retry after 200 to 450 ms, spread over that range
 
-  Scenario Outline: Routes and keys
+  Scenario Outline: Routes and API keys
     Given a desired state with the routes "/a/", "/a/b/" and a public "/p/" of "shop.example"
-    When a call for "<target>" with the key "<key>" comes
-    Then its end is "<end>"
+    When a call for "<target>" with the key "<key>" arrives
+    Then its result is "<result>"
 
     Examples:
-      | target               | key | end         |
+      | target               | key | result      |
       | shop.example/a/x     | k1  | route /a/   |
       | SHOP.example/a/b/x   | k1  | route /a/b/ |
       | shop.example/a/b     | k1  | route /a/   |
@@ -33,23 +31,23 @@
       | shop.example/c/      | k1  | status 404  |
       | other.example/a/     | k1  | status 404  |
 
-  Scenario: A team's priority goes before the route's
+  Scenario: A team's priority overrides the route's
     Given a desired state with the routes "/a/", "/a/b/" and a public "/p/" of "shop.example"
-    When a call for "shop.example/a/x" with the key "k2" comes
+    When a call for "shop.example/a/x" with the key "k2" arrives
     Then its priority is 0
 
-  Scenario: The shorter of the two limits ends a call
+  Scenario: The shorter of the route's timeout and the caller's time budget applies
     Given a desired state with the routes "/a/", "/a/b/" and a public "/p/" of "shop.example"
-    When a call for "shop.example/a/x" with the key "k1" comes that waits 300 ms
-    Then it ends 300 ms after its arrival
+    When a call for "shop.example/a/x" with the key "k1" and a time budget of 300 ms arrives
+    Then its deadline is 300 ms after its arrival
 
-  Scenario Outline: The operator limits what a caller may send
+  Scenario Outline: Size limits for callers' requests
     Given a desired state with the routes "/a/", "/a/b/" and a public "/p/" of "shop.example"
-    When a call with a head of <head> bytes and a body of <body> bytes comes
-    Then its end is "<end>"
+    When a call with a head of <head> bytes and a body of <body> bytes arrives
+    Then its result is "<result>"
 
     Examples:
-      | head  | body    | end        |
+      | head  | body    | result     |
       | 16384 | 4194304 | route /a/  |
       | 16385 | 0       | status 431 |
       | 200   | 4194305 | status 413 |
--- a/packages/clementineyoke-core/tests/edge/backoff.feature
+++ b/packages/clementineyoke-core/tests/edge/backoff.feature
@@ -1,46 +1,46 @@
-Feature: Backing off from runners that ask for it
+Feature: Backoff from runners that ask for it
 
-  Scenario: Calls go elsewhere until the backoff is over
+  Scenario: Calls avoid a runner until its backoff is over
     Given a pool of the runners a, b, c
     When a asks for a backoff of 3000 ms at 1000 ms
-    And backoffs are looked at 3999 ms
-    Then calls find all but "a"
-    When backoffs are looked at 4000 ms
-    Then calls still find all of them
+    And expired backoffs are ended at 3999 ms
+    Then calls are routed to all but "a"
+    When expired backoffs are ended at 4000 ms
+    Then calls are routed to all of them
 
-  Scenario: A later refusal names a shorter time
-    # Guards against a backoff that the answer to an earlier call cuts short.
+  Scenario: A later refusal with a shorter backoff
+    # Guards against a backoff that is shortened by the response to an earlier call.
     Given a pool of the runners a, b, c
     When a asks for a backoff of 3000 ms at 1000 ms
     And a asks for a backoff of 100 ms at 1200 ms
-    And backoffs are looked at 3900 ms
-    Then calls find all but "a"
+    And expired backoffs are ended at 3900 ms
+    Then calls are routed to all but "a"
 
-  Scenario: The runner fails as well
-    # Guards against the end of a quarantine that ends a backoff.
+  Scenario: A runner in backoff also fails
+    # Guards against a backoff that ends together with a quarantine.
     Given a pool of the runners a, b, c
     When a asks for a backoff of 3000 ms at 1000 ms
-    And "a" fails to take a connection at 1100 ms
-    And quarantines are looked at 2000 ms
-    Then calls find all but "a"
+    And "a" refuses a connection at 1100 ms
+    And expired quarantines are ended at 2000 ms
+    Then calls are routed to all but "a"
 
-  Scenario: All others fail
-    # Guards against calls pressed on a backed-off runner for want of another.
+  Scenario: All other runners fail
+    # Guards against calls to a runner in backoff because no other is left.
     Given a pool of the runners a, b, c
-    When each of them fails to take a connection at 1000 ms
+    When each of them refuses a connection at 1000 ms
     And a asks for a backoff of 3000 ms at 1000 ms
-    Then calls find all but "a"
+    Then calls are routed to all but "a"
 
-  Scenario: A runner starts anew under its id
-    # Guards against a backoff that binds a new lifetime.
+  Scenario: A runner restarts under its id
+    # Guards against a backoff that carries over to the new lifetime.
     Given a pool of the runners a, b, c
     When a asks for a backoff of 3000 ms at 1000 ms
-    And a starts anew under its id
-    Then calls still find all of them
+    And a restarts under its id
+    Then calls are routed to all of them
 
-  Scenario: When callers may come back to a pool that is backed off
+  Scenario: Retry-After of a pool whose runners are all in backoff
     Given a pool of the runners a, b, c
     When each of them asks for a backoff at 1000 ms, for 3000, 2000 and 1000 ms
-    Then the pool may be asked again at 2000 ms
+    Then calls to the pool may be retried at 2000 ms
     When the last of them leaves
-    Then the pool may be asked again at 3000 ms
+    Then calls to the pool may be retried at 3000 ms
--- a/packages/clementineyoke-core/tests/edge/draining_runners.feature
+++ b/packages/clementineyoke-core/tests/edge/draining_runners.feature
@@ -1,38 +1,38 @@
-Feature: Runners that signal in an answer that they drain
+Feature: Runners that signal in a response that they are draining
 
-  Scenario: The entry is written anew
-    # Guards against a draining runner that an entry written before brings back.
+  Scenario: The entry is written again
+    # Guards against an older entry that puts a draining runner back into use.
     Given a directory with the runners a, b
-    When an answer of a signals that it drains
+    When a response of a signals that it is draining
     And the entry of a comes back at 1000 ms
     Then a is draining and b is not
 
   Scenario: The entry lapses and returns
-    # Guards against a draining runner that returns with the store.
+    # Guards against a draining runner that is used again after a store outage.
     Given a directory with the runners a, b
-    When an answer of a signals that it drains
+    When a response of a signals that it is draining
     And the entry of a ends at 60000 ms
     And the entry of a comes back at 61000 ms
     Then a is draining and b is not
 
-  Scenario: A peer tells of it
-    # Guards against news of the same entry that count as known.
+  Scenario: A peer reports the draining
+    # Guards against a report that is ignored because the revision of the entry is known.
     Given a directory with the runners a, b
-    When an answer of a signals that it drains
-    And that is told to a new node
+    When a response of a signals that it is draining
+    And this is reported to a new node
     Then the new node knows that a is draining
 
-  Scenario: The runner starts anew under its id
-    # Guards against a new lifetime that is taken for the draining one.
+  Scenario: The runner restarts under its id
+    # Guards against a new lifetime that is treated as draining.
     Given a directory with the runners a, b
-    When a, born at 100, enters itself at 1000 ms
-    And the lifetime 100 of a answers that it drains
-    And a, born at 200, enters itself at 2000 ms
-    Then a is in force, born at 200 and not leaving
+    When a, started at 100, writes its entry at 1000 ms
+    And lifetime 100 of a signals in a response that it is draining
+    And a, started at 200, writes its entry at 2000 ms
+    Then a is in use, started at 200 and not leaving
 
-  Scenario: The lifetime before signals it late
-    # Guards against a late answer of a lifetime that is over.
+  Scenario: The previous lifetime signals late that it is draining
+    # Guards against a late response of a lifetime that has ended.
     Given a directory with the runners a, b
-    When a, born at 200, enters itself at 1000 ms
-    And the lifetime 100 of a answers that it drains
-    Then a is in force, born at 200 and not leaving
+    When a, started at 200, writes its entry at 1000 ms
+    And lifetime 100 of a signals in a response that it is draining
+    Then a is in use, started at 200 and not leaving
--- a/packages/clementineyoke-core/tests/edge/prompt_holders.feature
+++ b/packages/clementineyoke-core/tests/edge/prompt_holders.feature
@@ -1,32 +1,30 @@
-Feature: Whom a runner fetches a prompt from
+Feature: Runners from which a cached prompt is fetched
 
-  A load without network: 92 long prompts on 60 runners are called for at random through six
-  nodes. A call goes to the first runner of its prompt's order; one in twenty finds it busy and
-  goes to the next. A runner that lacks a prompt is told of another one to fetch it from; if
-  that one lacks it too, the prompt is read again though somebody holds it.
+  A simulation without network: calls for 92 long prompts on 60 runners arrive at random at six
+  nodes. A call goes to the first runner in its prompt's order; one in twenty finds it busy and
+  goes to the next. A runner that does not have a prompt is told another one to fetch it from;
+  if that one does not have it either, the prompt is computed again although a runner has it.
 
   Scenario: Runners are replaced one after the other
-    # Pattern: a release under load; each new runner stands first in the order of prompts
-    #   that it has never read.
-    # Symptom: long prompts are read again all through a release.
-    # Cause: the order tells where a prompt should lie, and was asked where it does.
+    # In a release under load, each new runner is first in the order of prompts that it has
+    # never read. If prompts were fetched by that order, which says where a prompt should be
+    # but not where it is, long prompts would be computed again all through the release.
     Given a load of 100 calls a second for 30 s
-    When every second a runner is replaced by a new one
-    Then remembering who answered last reads at most half as many prompts again
+    When a runner is replaced by a new one every second
+    Then with remembered holders at most half as many prompts are computed again
 
-  Scenario: A zone is emptied and its runners come back with nothing
-    # Pattern: 20 of the runners get nothing for 10 s and are restarted meanwhile.
-    # Symptom: prompts are read again when the zone is taken back.
-    # Cause: the second runner of a prompt's order may be of the same zone; what had
-    #   served meanwhile was the third or the fourth.
+  Scenario: A zone is evacuated and its runners come back with empty caches
+    # 20 of the runners get no calls for 10 s and are restarted meanwhile. The second runner
+    # in a prompt's order may be in the same zone, and the third or fourth has served the
+    # prompt. By that order, prompts would be computed again when the zone returns.
     Given a load of 100 calls a second for 30 s
-    When a third of the runners get nothing from 10 s to 20 s and come back empty
-    Then remembering who answered last reads at most half as many prompts again
+    When a third of the runners get no calls from 10 s to 20 s and come back empty
+    Then with remembered holders at most half as many prompts are computed again
 
-  Scenario: A runner that answered long ago
-    Given a node that saw a runner answer for a prompt
-    Then after 19 s the runner is named, and after 21 s nobody
+  Scenario: A runner's entry expires
+    Given a node that has seen a runner answer for a prompt
+    Then after 19 s the runner is returned, and after 21 s none
 
-  Scenario: A node remembers a bounded number of prompts
-    Given a node that saw answers for 10000 prompts
+  Scenario: The number of remembered prompts is limited
+    Given a node that has seen answers for 10000 prompts
     Then it remembers the last one, and 4096 at most
--- a/packages/clementineyoke-core/tests/edge/request_digest.feature
+++ b/packages/clementineyoke-core/tests/edge/request_digest.feature
@@ -1,8 +1,8 @@
-Feature: The mark of a call
+Feature: Digests of requests
 
-  Scenario Outline: Calls that ask for the same, and calls that do not
-    Given the mark of a "POST" of "/chat/1" by "team-one" with the body "tell me"
-    Then a "<method>" of "<target>" by "<team>" with the body "<body>" has <which> mark
+  Scenario Outline: Equal requests have equal digests, different requests do not
+    Given the digest of a "POST" of "/chat/1" by "team-one" with the body "tell me"
+    Then a "<method>" of "<target>" by "<team>" with the body "<body>" has <which> digest
 
     Examples:
       | method | target  | team     | body    | which       |
--- a/packages/clementineyoke-core/tests/steps/backoff_steps.py
+++ b/packages/clementineyoke-core/tests/steps/backoff_steps.py
@@ -26,13 +26,13 @@
         back_off(context, name, backoff_ms, now_ms)
 
 
-@when("backoffs are looked at {now_ms:d} ms")
+@when("expired backoffs are ended at {now_ms:d} ms")
 def end_backoffs(context, now_ms):
     context.runner_table.end_expired_backoffs(now_ms=float(now_ms))
 
 
-@when("{name} starts anew under its id")
-def start_anew(context, name):
+@when("{name} restarts under its id")
+def restart(context, name):
     live = [make_runner(other, born_ms=int(other == name)) for other in context.names]
     context.runner_table.apply_host_list(live=live, leaving=[], now_ms=NOW_MS)
 
@@ -43,7 +43,7 @@
     context.runner_table.apply_host_list(live=live, leaving=[last], now_ms=NOW_MS)
 
 
-@then("the pool may be asked again at {at_ms:d} ms")
+@then("calls to the pool may be retried at {at_ms:d} ms")
 def check_left(context, at_ms):
     left_ms = context.runner_table.backoff_remaining_ms(POOL, now_ms=NOW_MS)
     assert left_ms == at_ms - NOW_MS, left_ms
--- a/packages/clementineyoke-core/tests/steps/crash_records_steps.py
+++ b/packages/clementineyoke-core/tests/steps/crash_records_steps.py
@@ -5,27 +5,27 @@
 from clementineyoke_core.edge.crash_records import CrashRecord, CrashRecords
 
 
-@given("no runner has ended yet")
+@given("no runner has crashed yet")
 def given_none(context):
     context.crash_records = CrashRecords()
 
 
 @when(
-    "runner {runner} ends at {ended:d} ms with a copy of"
+    "runner {runner} crashes at {crashed:d} ms with a copy of"
     ' "{request}" that was sent at {sent:d} ms'
 )
-def runner_ends(context, runner, ended, request, sent):
+def runner_crashes(context, runner, crashed, request, sent):
     context.crash_records.record_crash(
-        request.encode(), lifetime=runner, sent_ms=sent, crashed_ms=ended
+        request.encode(), lifetime=runner, sent_ms=sent, crashed_ms=crashed
     )
 
 
-@when('runners {runners} end under "{request}", the last at {last:d} ms')
-def runners_end(context, runners, request, last):
+@when('runners {runners} crash while running "{request}", the last at {last:d} ms')
+def runners_crash(context, runners, request, last):
     names = runners.split(", ")
-    for place, runner in enumerate(names):
-        ended = last - 100 * (len(names) - 1 - place)
-        runner_ends(context, runner, ended, request, ended - 50)
+    for index, runner in enumerate(names):
+        crashed = last - 100 * (len(names) - 1 - index)
+        runner_crashes(context, runner, crashed, request, crashed - 50)
 
 
 @when('"{request}" is answered at {now:d} ms')
@@ -33,22 +33,24 @@
     context.crash_records.record_answer(request.encode(), now_ms=now)
 
 
-@when('a peer tells late that "{request}" ended {runners}, the last at {last:d} ms')
-def peer_tells(context, request, runners, last):
+@when('a peer reports late that "{request}" crashed {runners}, the last at {last:d} ms')
+def peer_reports(context, request, runners, last):
     names = tuple(runners.split(", "))
     record = CrashRecord(0, len(names), names, last)
     context.crash_records.merge(request.encode(), record, now_ms=last + 50)
 
 
-@when("old records are dropped at {now:d} ms")
-def drop_old(context, now):
+@when("expired records are dropped at {now:d} ms")
+def drop_expired(context, now):
     context.crash_records.drop_expired(now_ms=now)
 
 
-@when("runners end with {count:d} other requests on them")
-def many_end(context, count):
+@when("runners crash with {count:d} other requests on them")
+def many_crash(context, count):
     for number in range(count):
-        runner_ends(context, f"runner-{number}", 3000 + number, f"call-{number}", 2900)
+        runner_crashes(
+            context, f"runner-{number}", 3000 + number, f"call-{number}", 2900
+        )
 
 
 def judge(context, request, now):
@@ -77,11 +79,11 @@
     )
 
 
-@then("nothing is known any more")
+@then("there are no records")
 def check_empty(context):
     assert context.crash_records.is_empty
 
 
-@then("{count:d} requests are known")
+@then("there are {count:d} records")
 def check_count(context, count):
     assert len(context.crash_records._records) == count
--- a/packages/clementineyoke-core/tests/steps/displacement_steps.py
+++ b/packages/clementineyoke-core/tests/steps/displacement_steps.py
@@ -23,12 +23,12 @@
     )
 
 
-@given("a runner with a mean load of {mean:d} under a cap of {cap:d} times it")
+@given("a runner with a mean load of {mean:d} and a load cap of {cap:d} times the mean")
 def given_runner(context, mean, cap):
     context.mean, context.cap = mean, cap
 
 
-@when("calls of {tokens:d} tokens come until one is turned away")
+@when("calls of {tokens:d} tokens arrive until one is rejected")
 def fill(context, tokens):
     context.held = bound(context, tokens)
 
@@ -38,12 +38,12 @@
     assert bound(context, tokens) - context.held >= count, context.held
 
 
-@then("the runner holds at most {factor:d} times the mean, and {slack:d} more")
+@then("the runner has at most {factor:d} times the mean, and {slack:d} more")
 def check_cap(context, factor, slack):
     assert bound(context, 1_000_000) <= factor * context.mean + slack
 
 
-@then("a call without a prompt may find {count:d} others there")
+@then("a call without a prompt is accepted while {count:d} others are there")
 def check_plain(context, count):
     assert bound(context, 0) == count + 1
 
@@ -57,17 +57,17 @@
 
 RUNNERS = 3
 RUNNER_SLOTS = 6
-WORK_MS = 60.0
-RATE_A_MS = 0.26
+MEAN_WORK_MS = 60.0
+CALLS_PER_MS = 0.26
 SURGE_MS = 2_400.0
 MEAN_LOAD = 6.0
 
 
-def surge(queue_share):
-    """Return the waits of calls that found room, and how many found none."""
+def simulate_surge(queue_share):
+    """Return the sorted waits of accepted calls and the number of refused calls."""
     rng = Random(1)
     load_bound = LoadBound(2.0 * load_cap_share(0), SLACK_SLOTS, queue_share)
-    most = compute_home_bound(
+    max_load = compute_home_bound(
         estimated_mean=MEAN_LOAD,
         seen_mean=0.0,
         slots=RUNNER_SLOTS,
@@ -78,14 +78,14 @@
     refused = 0
     now = 0.0
     while now < SURGE_MS:
-        now += rng.expovariate(RATE_A_MS)
+        now += rng.expovariate(CALLS_PER_MS)
         order = rng.sample(range(RUNNERS), RUNNERS)
         for runner in order:
             held = [end for end in ends[runner] if end > now]
-            if len(held) < most:
+            if len(held) < max_load:
                 begins = max([now, *sorted(held)[-RUNNER_SLOTS:][:1]])
                 begins = now if len(held) < RUNNER_SLOTS else begins
-                ends[runner] = [*held, begins + WORK_MS * rng.uniform(0.5, 1.5)]
+                ends[runner] = [*held, begins + MEAN_WORK_MS * rng.uniform(0.5, 1.5)]
                 waits.append(begins - now)
                 break
         else:
@@ -93,14 +93,14 @@
     return sorted(waits), refused
 
 
-@when("such a surge meets runners that are given their slots alone")
-def surge_slots(context):
-    context.waits, context.refused = surge(0.0)
+@when("such a surge meets runners that get no more calls than they have slots")
+def surge_without_queues(context):
+    context.waits, context.refused = simulate_surge(0.0)
 
 
-@when("it meets runners that may hold as many calls in their queues")
-def surge_queues(context):
-    context.waits, context.refused = surge(1.0)
+@when("it meets runners that may have as many calls again in their queues")
+def surge_with_queues(context):
+    context.waits, context.refused = simulate_surge(1.0)
 
 
 def refused_share(context):
--- a/packages/clementineyoke-core/tests/steps/draining_runners_steps.py
+++ b/packages/clementineyoke-core/tests/steps/draining_runners_steps.py
@@ -10,21 +10,21 @@
     return {r.runner.runner_id for r in directory.records() if r.is_leaving}
 
 
-@when("an answer of {name} signals that it drains")
-def say_draining(context, name):
-    context.news = context.directory.record_draining(make_runner(name))
+@when("a response of {name} signals that it is draining")
+def signal_draining(context, name):
+    context.changes = context.directory.record_draining(make_runner(name))
 
 
-@when("the lifetime {born:d} of {name} answers that it drains")
-def signal_drain_of(context, born, name):
-    context.directory.record_draining(make_runner(name, born_ms=born))
+@when("lifetime {started:d} of {name} signals in a response that it is draining")
+def signal_draining_of(context, started, name):
+    context.directory.record_draining(make_runner(name, born_ms=started))
 
 
-@when("that is told to a new node")
-def tell_new_node(context):
+@when("this is reported to a new node")
+def report_to_new_node(context):
     context.new_directory = make_directory()
     context.new_directory.replace(DirectoryView(10, tuple(context.old)), now_ms=0.0)
-    assert context.new_directory.apply(context.news, now_ms=0.0)
+    assert context.new_directory.apply(context.changes, now_ms=0.0)
 
 
 @then("{name} is draining and {other} is not")
--- a/packages/clementineyoke-core/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-core/tests/steps/edge_steps.py
@@ -60,9 +60,9 @@
 # Attempts
 
 
-@given("a call that {may} be repeated, for at most {most:d} runners")
-def given_call(context, may, most):
-    context.ledger = AttemptLedger(may_repeat=may == "may", max_runners=most)
+@given("a call that {may} be repeated, for at most {max_runners:d} runners")
+def given_call(context, may, max_runners):
+    context.ledger = AttemptLedger(may_repeat=may == "may", max_runners=max_runners)
 
 
 @when('its attempt at "{runner}" ends as "{end}"')
@@ -76,13 +76,13 @@
         context.ledger.record(f"runner-{number}", AttemptOutcome(end))
 
 
-@then("it may be tried again")
-def check_again(context):
+@then("it may be retried")
+def check_may_retry(context):
     assert context.ledger.may_retry()
 
 
-@then("it may not be tried again")
-def check_not_again(context):
+@then("it may not be retried")
+def check_may_not_retry(context):
     assert not context.ledger.may_retry()
 
 
@@ -91,12 +91,12 @@
     assert context.ledger.may_have_run
 
 
-@then("it surely did not run")
+@then("it did not run")
 def check_not_run(context):
     assert not context.ledger.may_have_run
 
 
-# Second tries
+# Retry budget
 
 
 @given("{nodes:d} nodes that share a ratio of {ratio:f} and {n:d} more in {s:d} s")
@@ -107,37 +107,37 @@
     ]
 
 
-@when("each sees {calls:d} calls in {s:d} s and all of them want a second try")
-def want_retries(context, calls, s):
-    context.taken = []
+@when("each sees {calls:d} calls in {s:d} s and all of them ask for a retry")
+def ask_for_retries(context, calls, s):
+    context.retries = []
     for window in context.windows:
-        taken = 0
+        retries = 0
         for number in range(calls):
             now_ms = number * s * 1000.0 / calls
             window.record_call(POOL, now_ms=now_ms)
-            taken += window.try_spend(
+            retries += window.try_spend(
                 POOL, node_count=len(context.windows), now_ms=now_ms
             )
-        context.taken.append(taken)
+        context.retries.append(retries)
 
 
-@then("together they send at most {most:d} again")
-def check_together(context, most):
-    assert sum(context.taken) <= most, context.taken
+@then("together they retry at most {max_retries:d}")
+def check_together(context, max_retries):
+    assert sum(context.retries) <= max_retries, context.retries
 
 
-@then("each sends at least {least:d} again")
-def check_each(context, least):
-    assert min(context.taken) >= least, context.taken
+@then("each retries at least {min_retries:d}")
+def check_each(context, min_retries):
+    assert min(context.retries) >= min_retries, context.retries
 
 
-@then("nothing is left at {s:d} s")
-def check_nothing_left(context, s):
+@then("no retry is left at {s:d} s")
+def check_no_retry_left(context, s):
     assert not context.windows[0].try_spend(POOL, node_count=1, now_ms=s * 1000.0)
 
 
-@then("there is something left at {s:d} s")
-def check_something_left(context, s):
+@then("a retry is left at {s:d} s")
+def check_retry_left(context, s):
     assert context.windows[0].try_spend(POOL, node_count=1, now_ms=s * 1000.0)
 
 
@@ -156,37 +156,38 @@
     context.events += context.splitter.feed(chunk)
 
 
-@then("it gave the events {numbers}")
+@then("it has returned the events {numbers}")
 def check_events(context, numbers):
     wanted = [int(number) for number in numbers.split(",")]
     assert [event.event_id for event in context.events] == wanted, context.events
 
 
-@then("it holds a part")
-def check_part(context):
+@then("it holds a partial event")
+def check_partial(context):
     assert context.splitter.has_partial_event
 
 
-@then("it holds no part")
-def check_no_part(context):
+@then("it holds no partial event")
+def check_no_partial(context):
     assert not context.splitter.has_partial_event
 
 
 @then(
-    "{cuts:d} random cuts of a stream of {count:d} events give them whole and in order"
+    "{splits:d} random splits of a stream of {count:d} events return them complete"
+    " and in order"
 )
-def check_cuts(context, cuts, count):
+def check_splits(context, splits, count):
     rng = Random(1)
-    whole = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(count))
-    for _ in range(cuts):
+    stream = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(count))
+    for _ in range(splits):
         splitter = EventSplitter()
         events = []
-        place = 0
-        while place < len(whole):
+        position = 0
+        while position < len(stream):
             size = rng.randint(1, 20)
-            events += splitter.feed(whole[place : place + size])
-            place += size
-        assert b"".join(event.body for event in events) == whole
+            events += splitter.feed(stream[position : position + size])
+            position += size
+        assert b"".join(event.body for event in events) == stream
         assert [event.event_id for event in events] == list(range(count))
 
 
@@ -198,8 +199,8 @@
 
 
 DRAIN_WITHIN_MS = 2_000.0
-LAPSE_MS = 2_200
-"""How long a peer says that it waits for a runner whose entry has just lapsed."""
+LAPSE_WAIT_MS = 2_200
+"""Wait that a peer reports for a runner whose entry has just lapsed."""
 
 
 def make_directory():
@@ -233,17 +234,17 @@
     context.directory.apply(changes, now_ms=now)
 
 
-@given("the store returned at {now:d} ms")
-def given_return(context, now):
+@given("the store recovered at {now:d} ms")
+def given_recovery(context, now):
     context.directory.record_store_recovery(now_ms=now)
 
 
-@given("{name} says that it is leaving")
+@given("{name} reports that it is leaving")
 def given_leaving(context, name):
     put(context, name, now=0.0, is_leaving=True)
 
 
-@when("a list with no runners comes at {now:d} ms")
+@when("an empty list of runners arrives at {now:d} ms")
 def empty_list(context, now):
     context.revision += 1
     context.directory.replace(DirectoryView(context.revision, ()), now_ms=now)
@@ -259,7 +260,7 @@
     end(context, name, now=now)
 
 
-@when("the old list with {names} comes from a peer at {now:d} ms")
+@when("a peer sends the old list with {names} at {now:d} ms")
 def old_list(context, names, now):
     context.directory.replace(DirectoryView(10, tuple(context.old)), now_ms=now)
 
@@ -269,13 +270,13 @@
     context.directory.drop_lapsed(now_ms=now)
 
 
-@then("the runners in force are {names}")
+@then("the runners in use are {names}")
 def check_directory(context, names):
     found = {record.runner.runner_id for record in context.directory.records()}
     assert found == set(names.split(", ")), found
 
 
-@then("no runner is in force")
+@then("no runner is in use")
 def check_none(context):
     assert not context.directory.records()
 
@@ -286,19 +287,17 @@
     context.directory.record_store_answer(at_ms=answered)
 
 
-@given("the store is away")
-def given_away(context):
+@given("the store is unreachable")
+def given_unreachable(context):
     context.directory.record_store_failure()
 
 
-@when("the store returns at {now:d} ms")
-def store_returns(context, now):
+@when("the store recovers at {now:d} ms")
+def store_recovers(context, now):
     context.directory.record_store_recovery(now_ms=now)
 
 
-@when(
-    "a peer that waits for {lapsed} hands over a newer list with {names} at {now:d} ms"
-)
+@when("a peer that waits for {lapsed} sends a newer list with {names} at {now:d} ms")
 def peer_waits(context, lapsed, names, now):
     context.revision += 1
     held = tuple(make_record(name) for name in names.split(", "))
@@ -307,15 +306,15 @@
     context.directory.replace(view, now_ms=now)
 
 
-@when("a new node takes over the list at {now:d} ms")
-def take_over(context, now):
+@when("a new node gets the list at {now:d} ms")
+def get_list(context, now):
     view = context.directory.view(now_ms=now)
     context.new_directory = make_directory()
     context.new_directory.replace(view, now_ms=now)
 
 
-@when("a new node takes over the list, and reads an empty one at {now:d} ms")
-def take_over_and_read(context, now):
+@when("a new node gets the list and reads an empty one at {now:d} ms")
+def get_list_and_read(context, now):
     context.new_directory = make_directory()
     view = context.directory.view(now_ms=now - 100)
     context.new_directory.replace(view, now_ms=now - 100)
@@ -334,51 +333,51 @@
     assert not directory.records()
 
 
-@when("the end of {name} that came before its return is told at {now:d} ms")
+@when("the earlier end of {name} is reported late at {now:d} ms")
 def late_end(context, name, now):
     end(context, name, now=now, revision=context.revision - 1)
 
 
-@when("a peer tells at {now:d} ms that the entry of {name} lapsed")
-def told_lapsed(context, now, name):
-    end(context, name, now=now, wait_ms=LAPSE_MS)
+@when("a peer reports at {now:d} ms that the entry of {name} lapsed")
+def report_lapse(context, now, name):
+    end(context, name, now=now, wait_ms=LAPSE_WAIT_MS)
 
 
-@when("a peer tells at {now:d} ms that it waits {wait:d} ms more for {name}")
-def told_wait(context, now, wait, name):
+@when("a peer reports at {now:d} ms that it waits {wait:d} ms more for {name}")
+def report_wait(context, now, wait, name):
     end(context, name, now=now, wait_ms=wait)
 
 
-@when("a peer that saw the end of {name} tells of it at {now:d} ms")
-def told_end(context, name, now):
+@when("a peer that saw the end of {name} reports it at {now:d} ms")
+def report_end(context, name, now):
     removal = RunnerRemoval(name, context.revision)
     changes = DirectoryChanges(10, context.revision, (), (removal,))
     context.directory.apply(changes, now_ms=now)
 
 
-@when("a peer tells at {now:d} ms of the entry of {name} as it was at the start")
-def told_old_entry(context, now, name):
+@when("a peer reports at {now:d} ms the entry of {name} as it was at the start")
+def report_old_entry(context, now, name):
     changes = DirectoryChanges(10, context.revision, (make_record(name),), ())
     context.directory.apply(changes, now_ms=now)
 
 
-@when("{name}, born at {born:d}, enters itself at {now:d} ms")
-def enters(context, name, born, now):
-    put(context, name, now=now, born_ms=born)
+@when("{name}, started at {started:d}, writes its entry at {now:d} ms")
+def write_entry(context, name, started, now):
+    put(context, name, now=now, born_ms=started)
 
 
-@when("{name}, born at {born:d}, says at {now:d} ms that it is leaving")
-def says_leaving(context, name, born, now):
-    put(context, name, now=now, is_leaving=True, born_ms=born)
+@when("{name}, started at {started:d}, reports at {now:d} ms that it is leaving")
+def report_leaving(context, name, started, now):
+    put(context, name, now=now, is_leaving=True, born_ms=started)
 
 
-@when("the store ends at {now:d} ms what {name}, born at {born:d}, wrote")
-def lifetime_ends(context, now, name, born):
-    end(context, name, now=now, born_ms=born)
+@when("at {now:d} ms the entry of {name}, started at {started:d}, ends")
+def lifetime_ends(context, now, name, started):
+    end(context, name, now=now, born_ms=started)
 
 
-@when("the entry of {name} names no runner any more at {now:d} ms")
-def entry_refused(context, name, now):
+@when("the entry of {name} becomes unusable at {now:d} ms")
+def entry_unusable(context, name, now):
     base = context.revision
     context.revision += 1
     removal = RunnerRemoval(name, context.revision, is_refused=True)
@@ -386,32 +385,33 @@
     context.directory.apply(changes, now_ms=now)
 
 
-@then("{name} is in force, born at {born:d} and not leaving")
-def check_lifetime(context, name, born):
+@then("{name} is in use, started at {started:d} and not leaving")
+def check_lifetime(context, name, started):
     records = {r.runner.runner_id: r for r in context.directory.records()}
-    assert records[name].runner.born_ms == born, records[name]
+    assert records[name].runner.born_ms == started, records[name]
     assert not records[name].is_leaving
 
 
-def follows(directory, base, revision):
+def is_contiguous(directory, base, revision):
     return directory.is_contiguous_with(DirectoryChanges(base, revision, (), ()))
 
 
-@then("changes from revision {base:d} to {revision:d} follow on it")
-def check_follows(context, base, revision):
-    assert follows(context.directory, base, revision)
+@then("changes from revision {base:d} to {revision:d} are contiguous with it")
+def check_contiguous(context, base, revision):
+    assert is_contiguous(context.directory, base, revision)
 
 
-@then("changes from revision {base:d} to {revision:d} do not follow on it")
+@then("changes from revision {base:d} to {revision:d} are not contiguous with it")
 def check_gap(context, base, revision):
-    assert not follows(context.directory, base, revision)
+    assert not is_contiguous(context.directory, base, revision)
 
 
 @then(
-    "changes from revision {base:d} to {revision:d} do not follow on an empty directory"
+    "changes from revision {base:d} to {revision:d} are not contiguous with an empty"
+    " directory"
 )
 def check_empty_gap(context, base, revision):
-    assert not follows(make_directory(), base, revision)
+    assert not is_contiguous(make_directory(), base, revision)
 
 
 # Admission
@@ -419,7 +419,7 @@
 
 @given("no desired state")
 def given_no_state(context):
-    context.routes = None
+    context.route_table = None
 
 
 @given('a desired state with the routes "/a/", "/a/b/" and a public "/p/" of "{host}"')
@@ -427,20 +427,23 @@
     routes = (make_route("/a/"), make_route("/a/b/"), make_route("/p/", is_public=True))
     teams = (Team("one", ("k1",), None), Team("two", ("k2",), 0))
     state = DesiredState(1, 1, routes, teams, True, CallerLimits())
-    context.routes = RouteTable(state=state)
+    context.route_table = RouteTable(state=state)
 
 
-@when('a call for "{target}" with the key "{key}" comes that waits {wait:d} ms')
-def call_waits(context, target, key, wait):
-    admit_call(context, target, key, wait)
+@when(
+    'a call for "{target}" with the key "{key}" and a time budget of {budget:d} ms'
+    " arrives"
+)
+def call_with_budget(context, target, key, budget):
+    admit_call(context, target, key, budget)
 
 
-@when("a call with a head of {head:d} bytes and a body of {body:d} bytes comes")
+@when("a call with a head of {head:d} bytes and a body of {body:d} bytes arrives")
 def sized_call(context, head, body):
     admit_call(context, "shop.example/a/x", "k1", 60_000, head=head, body=body)
 
 
-def admit_call(context, target, key, wait, *, head=200, body=0):
+def admit_call(context, target, key, budget, *, head=200, body=0):
     host, _, path = target.partition("/")
     call = EdgeCall(
         call_id="call",
@@ -452,7 +455,7 @@
         head_bytes=head,
         body=bytes(body),
         key=key or None,
-        budget_ms=wait,
+        budget_ms=budget,
         model="",
         prompt_parts=(),
         last_event=None,
@@ -460,47 +463,47 @@
     context.error = context.admitted = None
     try:
         rng = getattr(context, "rng", None) or Random(1)
-        context.admitted = admit(call, context.routes, arrived_ms=0.0, rng=rng)
+        context.admitted = admit(call, context.route_table, arrived_ms=0.0, rng=rng)
     except RequestError as error:
         context.error = error
 
 
-@when('a call for "{target}" with the key "{key}" comes')
-def call_comes(context, target, key):
-    call_waits(context, target, key, 60_000)
+@when('a call for "{target}" with the key "{key}" arrives')
+def call_arrives(context, target, key):
+    call_with_budget(context, target, key, 60_000)
 
 
-@when('a call for "{target}" with the key "" comes')
+@when('a call for "{target}" with the key "" arrives')
 def keyless_call(context, target):
-    call_waits(context, target, "", 60_000)
+    call_with_budget(context, target, "", 60_000)
 
 
-@when("{count:d} callers that wait {wait:d} ms are refused")
-def refuse_many(context, count, wait):
-    context.returns_ms = []
+@when("{count:d} callers with a time budget of {budget:d} ms are refused")
+def refuse_many(context, count, budget):
+    context.retry_after_ms = []
     context.rng = Random(1)
     for _ in range(count):
-        call_waits(context, "shop.example/a/x", "k1", wait)
-        context.returns_ms.append(context.error.retry_after_ms)
+        call_with_budget(context, "shop.example/a/x", "k1", budget)
+        context.retry_after_ms.append(context.error.retry_after_ms)
 
 
-@then("they come back between {low:d} and {high:d} ms later, spread over that time")
-def check_returns(context, low, high):
-    assert low <= min(context.returns_ms), min(context.returns_ms)
-    assert max(context.returns_ms) <= high, max(context.returns_ms)
-    assert max(context.returns_ms) - min(context.returns_ms) > (high - low) / 2
+@then("they are to retry after {low:d} to {high:d} ms, spread over that range")
+def check_retry_after(context, low, high):
+    assert low <= min(context.retry_after_ms), min(context.retry_after_ms)
+    assert max(context.retry_after_ms) <= high, max(context.retry_after_ms)
+    assert max(context.retry_after_ms) - min(context.retry_after_ms) > (high - low) / 2
 
 
-@then("it is refused with {status:d} and a time to return")
+@then("it is refused with {status:d} and a Retry-After")
 def check_refused(context, status):
     assert context.error.status == status
     assert context.error.retry_after_ms
 
 
-@then('its end is "{end}"')
-def check_end(context, end):
-    word, _, value = end.partition(" ")
-    if word == "status":
+@then('its result is "{result}"')
+def check_result(context, result):
+    kind, _, value = result.partition(" ")
+    if kind == "status":
         assert context.error is not None and context.error.status == int(value)
         return
     assert context.admitted is not None, context.error
@@ -512,7 +515,7 @@
     assert context.admitted.priority == priority
 
 
-@then("it ends {ms:d} ms after its arrival")
+@then("its deadline is {ms:d} ms after its arrival")
 def check_deadline(context, ms):
     assert context.admitted.deadline_ms == ms
 
@@ -532,26 +535,32 @@
     context.route = make_route(kind=CallKind.STREAM, timeout_ms=float(ms))
 
 
-@then("a prompt of {tokens:d} tokens is waited for longer than {ms:d} ms")
-def check_longer(context, tokens, ms):
-    assert patience(context).head_timeout_ms(context.route, prompt_tokens=tokens) > ms
+@then("a prompt of {tokens:d} tokens has a timeout above {ms:d} ms")
+def check_timeout_above(context, tokens, ms):
+    assert (
+        attempt_timeouts(context).head_timeout_ms(context.route, prompt_tokens=tokens)
+        > ms
+    )
 
 
-@then("a prompt of {tokens:d} tokens is waited for at most {ms:d} ms")
-def check_at_most(context, tokens, ms):
-    assert patience(context).head_timeout_ms(context.route, prompt_tokens=tokens) <= ms
+@then("a prompt of {tokens:d} tokens has a timeout of at most {ms:d} ms")
+def check_max_timeout(context, tokens, ms):
+    assert (
+        attempt_timeouts(context).head_timeout_ms(context.route, prompt_tokens=tokens)
+        <= ms
+    )
 
 
-def patience(context):
-    if "patience" not in context:
-        context.patience = AttemptTimeouts()
-    return context.patience
+def attempt_timeouts(context):
+    if "attempt_timeouts" not in context:
+        context.attempt_timeouts = AttemptTimeouts()
+    return context.attempt_timeouts
 
 
-@when("the pool has become as slow as {ms:d} ms to the first event")
-def become_slow(context, ms):
+@when("the pool has slowed down to {ms:d} ms to the first event")
+def slow_down(context, ms):
     for _ in range(60):
-        patience(context).record_first_event(context.route, latency_ms=ms)
+        attempt_timeouts(context).record_first_event(context.route, latency_ms=ms)
 
 
 @given("a pool of the runners {names}")
@@ -562,25 +571,25 @@
     context.runner_table.apply_host_list(live=runners, leaving=[], now_ms=0.0)
     context.rings = PoolRings(table=context.runner_table, region="region")
     context.rings.rebuild()
-    context.watch = RunnerHealth(table=context.runner_table)
+    context.runner_health = RunnerHealth(table=context.runner_table)
 
 
-@when("each of them fails to take a connection at {now:d} ms")
+@when("each of them refuses a connection at {now:d} ms")
 def all_fail(context, now):
     for name in context.names:
-        context.watch.record_failure(
+        context.runner_health.record_failure(
             make_runner(name), outcome=AttemptOutcome.NOT_SENT, now_ms=now
         )
 
 
-@when('"{name}" fails to take a connection at {now:d} ms')
+@when('"{name}" refuses a connection at {now:d} ms')
 def one_fails(context, name, now):
-    context.watch.record_failure(
+    context.runner_health.record_failure(
         make_runner(name), outcome=AttemptOutcome.NOT_SENT, now_ms=now
     )
 
 
-@when("quarantines are looked at {now:d} ms")
+@when("expired quarantines are ended at {now:d} ms")
 def end_quarantines(context, now):
     context.runner_table.end_expired_quarantines(now_ms=now)
 
@@ -589,19 +598,19 @@
 def answers(context, name, now, ends):
     for end in ends.split(", "):
         if end == "ok":
-            context.watch.record_success(make_runner(name), now_ms=now)
+            context.runner_health.record_success(make_runner(name), now_ms=now)
         else:
-            context.watch.record_failure(
+            context.runner_health.record_failure(
                 make_runner(name), outcome=AttemptOutcome(end), now_ms=now
             )
 
 
-@then("calls still find all of them")
-def check_all_found(context):
+@then("calls are routed to all of them")
+def check_all_routed(context):
     assert set(context.rings.order(POOL, KEY)) == set(context.names)
 
 
-@then('calls find all but "{name}"')
+@then('calls are routed to all but "{name}"')
 def check_all_but(context, name):
     assert set(context.rings.order(POOL, KEY)) == set(context.names) - {name}
 
@@ -616,7 +625,7 @@
     context.rings.rebuild()
 
 
-@then("it is no longer found for calls but still the key's likeliest holder")
+@then("it gets no calls but is still the key's likeliest holder")
 def check_holder(context):
     assert context.first not in set(context.rings.order(POOL, KEY))
     assert next(context.rings.cache_candidates(POOL, KEY)) == context.first
--- a/packages/clementineyoke-core/tests/steps/start_wait_steps.py
+++ b/packages/clementineyoke-core/tests/steps/start_wait_steps.py
@@ -7,23 +7,23 @@
 
 @given("a node that started at {now:d} ms")
 def given_started(context, now):
-    context.start_wait = StartupWait()
-    context.start_wait.record_start(now_ms=now)
+    context.startup_wait = StartupWait()
+    context.startup_wait.record_start(now_ms=now)
 
 
 @when("{count:d} calls wait at {now:d} ms")
 def calls_wait(context, count, now):
     for _ in range(count):
-        context.start_wait.begin_wait(now_ms=now)
+        context.startup_wait.begin_wait(now_ms=now)
 
 
-@when("one of them waits no longer")
-def one_leaves(context):
-    context.start_wait.end_wait()
+@when("one of them stops waiting")
+def one_stops_waiting(context):
+    context.startup_wait.end_wait()
 
 
 @then("a call at {now:d} ms may wait {wait:d} ms for the state")
 def check_wait(context, now, wait):
-    found = context.start_wait.begin_wait(now_ms=now)
-    context.start_wait.end_wait()
-    assert found == wait, found
+    wait_ms = context.startup_wait.begin_wait(now_ms=now)
+    context.startup_wait.end_wait()
+    assert wait_ms == wait, wait_ms
--- a/packages/clementineyoke-core/tests/steps/store_freshness_steps.py
+++ b/packages/clementineyoke-core/tests/steps/store_freshness_steps.py
@@ -10,13 +10,13 @@
     context.freshness = StoreFreshness(bound_ms=bound)
 
 
-@when("the store is heard at {now:d} ms")
-def hear_store(context, now):
+@when("the store answers at {now:d} ms")
+def store_answers(context, now):
     context.freshness.confirm(ViewPart.STATE, now_ms=now)
 
 
-@when("a peer tells at {now:d} ms that it heard the store {age:d} ms ago")
-def hear_peer(context, now, age):
+@when("a peer reports at {now:d} ms that the store answered it {age:d} ms ago")
+def peer_reports(context, now, age):
     context.freshness.confirm(ViewPart.STATE, now_ms=now, age_ms=age)
 
 
@@ -30,6 +30,6 @@
     assert not context.freshness.is_stale(ViewPart.STATE, now_ms=now)
 
 
-@then("at {now:d} ms it tells others that it is {age:d} ms old")
+@then("at {now:d} ms it reports an age of {age:d} ms")
 def check_age(context, now, age):
     assert context.freshness.ages(now_ms=now).state_ms == age
