--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
@@ -11,7 +11,7 @@
     """A decoded request of a caller."""
 
     call_id: str
-    """Identifies this attempt of the caller; the runner echoes it."""
+    """Id of this attempt of the caller; the runner echoes it."""
     method: str
     target: str
     """Path and query string as the caller sent them."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_connection_policy.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/idle_connection_policy.py
@@ -13,14 +13,17 @@
     A runner, or a device on the network path, may drop an idle connection silently; the
     next call on it is reset. An idempotent call is retried on another runner. A call
     that must not run twice is lost, because it may have run. After the first such loss
-    only calls of this kind get new connections for a while.
+    calls of this kind, and no others, get new connections for a while.
     """
 
     def __init__(self) -> None:
         self._lost_ms: dict[str, float] = {}
 
     def record_loss(self, pool: str, *, now_ms: float) -> bool:
-        """Record a call lost on an idle connection; return if reuse was allowed."""
+        """Record a call lost on an idle connection.
+
+        Return whether idle connections could be reused until then.
+        """
         was_allowed = self.may_reuse(pool, now_ms=now_ms)
         self._lost_ms[pool] = now_ms
         return was_allowed
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/retry_window.py
@@ -32,7 +32,7 @@
         self._drop_expired(calls, now_ms)
 
     def try_spend(self, pool: str, *, node_count: int, now_ms: float) -> bool:
-        """Consume one retry of a pool; return False if none is left."""
+        """Spend one retry of a pool; return False if none is left."""
         if not self.has_budget(pool, node_count=node_count, now_ms=now_ms):
             return False
         self._retries[pool].append(now_ms)
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
@@ -224,7 +224,7 @@
         return DirectoryChanges(self.revision, self.revision, (record,), ())
 
     def is_newer(self, record: RunnerRecord) -> bool:
-        """Return whether a record is newer than the known record of its runner."""
+        """Return whether a record is newer than any known record of its runner."""
         known = self._records.get(record.runner.runner_id)
         return known is None or known.revision < record.revision
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/startup_wait.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/startup_wait.py
@@ -1,10 +1,11 @@
-"""Waiting of calls for the first desired state of a node that has just started."""
+"""How long calls wait for the first desired state of a node that has just started."""
 
 from __future__ import annotations
 
 STARTUP_MS = 500.0
 """How long after its start a node expects the first state. A node that can reach the
-store or peers has it within 20 ms; twice the maximum wait covers slow responses."""
+store or peers has it within 20 ms. After twice the maximum wait it is unlikely to
+arrive in time for a waiting call."""
 MAX_WAIT_MS = 250.0
 """The shortest latency objectives are 300 ms; the rest is for the response itself."""
 MAX_WAITING_CALLS = 256
