--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -109,7 +109,7 @@
     Mutation(
         "prompts are fetched by the ring's order alone",
         f"{DECISIONS}/edge/prompt_holders.py",
-        "        return holding.runner\n",
+        "return holder.runner",
         "        return None\n",
         f"{PURE}/prompt_holders.feature",
     ),
@@ -256,7 +256,7 @@
     Mutation(
         "a told lapse outlives the word of its end",
         f"{DECISIONS}/edge/runner_directory.py",
-        "if not ended.wait_ms:",
+        "if not removal.wait_ms:",
         "if False:",
         PURE,
     ),
@@ -270,14 +270,14 @@
     Mutation(
         "silent watchers are trusted for good",
         f"{DECISIONS}/edge/store_freshness.py",
-        "LIMIT_SHARE = 0.6",
-        "LIMIT_SHARE = 60.0",
+        "MAX_AGE_SHARE = 0.6",
+        "MAX_AGE_SHARE = 60.0",
         NEWS,
     ),
     Mutation(
         "a late word of an end is the last one",
         f"{DECISIONS}/edge/runner_directory.py",
-        "if record is None or record.revision > ended.revision:",
+        "if record is None or record.revision > removal.revision:",
         "if record is None:",
         PURE,
     ),
@@ -312,9 +312,9 @@
     Mutation(
         "a long prompt is waited for like a short one",
         f"{DECISIONS}/edge/attempt_timeouts.py",
-        "usual_ms = LEAST_HEAD_MS + READING_MS_PER_TOKEN * prompt_tokens\n"
-        "            answer_ms",
-        "usual_ms = 720.0\n            answer_ms",
+        "expected_ms = MIN_HEAD_TIMEOUT_MS + PREFILL_MS_PER_TOKEN * prompt_tokens\n"
+        "            first_event_ms",
+        "expected_ms = 720.0\n            first_event_ms",
         PURE,
     ),
     Mutation(
@@ -334,7 +334,7 @@
     Mutation(
         "a failing runner is never taken out",
         f"{DECISIONS}/edge/runner_health.py",
-        "share > LARGEST_SHARE",
+        "share > MAX_FAILURE_SHARE",
         "share > 1.0",
         PURE,
     ),
@@ -355,15 +355,15 @@
     Mutation(
         "an end that was seen as it happened is waited for like a lapse",
         f"{DECISIONS}/edge/runner_directory.py",
-        "until_ms = min(until_ms, now_ms + self._longest_live_wait_ms)",
+        "until_ms = min(until_ms, now_ms + self._max_live_wait_ms)",
         "pass",
         PURE,
     ),
     Mutation(
         "a peer's wait begins anew",
         f"{DECISIONS}/edge/runner_directory.py",
-        "now_ms + min(told_wait_ms, self._longest_live_wait_ms)",
-        "now_ms + RETURN_TIME_MS * (told_wait_ms > 0)",
+        "now_ms + min(reported_wait_ms, self._max_live_wait_ms)",
+        "now_ms + RETURN_GRACE_MS * (reported_wait_ms > 0)",
         PURE,
     ),
     Mutation(
@@ -376,8 +376,8 @@
     Mutation(
         "a wait reported by a peer is not capped",
         f"{DECISIONS}/edge/runner_directory.py",
-        "min(told_wait_ms, self._longest_live_wait_ms)",
-        "told_wait_ms",
+        "min(reported_wait_ms, self._max_live_wait_ms)",
+        "reported_wait_ms",
         PURE,
     ),
     Mutation(
@@ -397,7 +397,7 @@
     Mutation(
         "the end of an earlier lifetime's entry ends the new one",
         f"{DECISIONS}/edge/runner_directory.py",
-        "if 0 < ended.born_ms < record.runner.born_ms:",
+        "if 0 < removal.born_ms < record.runner.born_ms:",
         "if False:",
         PURE,
     ),
@@ -411,7 +411,7 @@
     Mutation(
         "an entry that was written over stays in use",
         f"{DECISIONS}/edge/runner_directory.py",
-        "if ended.is_refused:",
+        "if removal.is_refused:",
         "if False:",
         PURE,
     ),
@@ -432,15 +432,15 @@
     Mutation(
         "the first of a list are named to callers, whatever they bear",
         f"{DECISIONS}/edge/entry_nodes.py",
-        "if node.calls_per_s >= least_per_s",
+        "if node.calls_per_s >= min_per_s",
         "if True",
         PURE,
     ),
     Mutation(
         "weak hosts are not enough to be named, however many",
         f"{DECISIONS}/edge/entry_nodes.py",
-        "borne_per_s >= HEADROOM * calls_per_s",
-        "least_per_s >= HEADROOM * calls_per_s",
+        "capacity_per_s >= HEADROOM_FACTOR * calls_per_s",
+        "min_per_s >= HEADROOM_FACTOR * calls_per_s",
         PURE,
     ),
     Mutation(
@@ -502,7 +502,7 @@
     Mutation(
         "each runner of a common end counts",
         f"{DECISIONS}/edge/crash_records.py",
-        "if sent_ms < known.last_ms - ORDER_SLACK_MS:",
+        "if sent_ms < known.last_ms - REPORT_ORDER_TOLERANCE_MS:",
         "if False:",
         f"{PURE}/crash_records.feature",
     ),
@@ -516,15 +516,15 @@
     Mutation(
         "whoever was beside a request bears its ends",
         f"{DECISIONS}/edge/crash_records.py",
-        "explained += most > record.crashes",
+        "explained += max_crashes > record.crashes",
         "explained += 0",
         f"{PURE}/crash_records.feature",
     ),
     Mutation(
         "of two suspected requests both are refused",
         f"{DECISIONS}/edge/crash_records.py",
-        "CERTAIN_FROM if is_contested else REFUSED_FROM",
-        "REFUSED_FROM",
+        "CRASHES_TO_REFUSE_CONTESTED if is_contested else CRASHES_TO_REFUSE",
+        "CRASHES_TO_REFUSE",
         f"{PURE}/crash_records.feature",
     ),
     Mutation(
