--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
@@ -120,7 +120,7 @@
         request = ClaimRequest(
             ask_id, claim.shard, claim.key, claim.holder, claim.request_digest
         )
-        reply = await self._socket.ask(
+        reply = await self._socket.request(
             home, request, reply_type=ClaimReply, timeout_ms=self._timeout_ms
         )
         answer = None
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
@@ -1,4 +1,4 @@
-"""Probe random peers; each probe carries load shares, rumours and a version."""
+"""Gossip with random peers: probes carry loads, membership updates and versions."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
 
 
-MOST_ANNOUNCED = 256
-"""Peers told at once that a node leaves, drawn anew each time. Told to a few, always
-the same ones, the news goes on by gossip for seconds in a large fleet, and callers are
-sent to a node that has closed its door."""
+MAX_ANNOUNCED_PEERS = 256
+"""Number of peers notified immediately when a node leaves, sampled anew each time.
+Notifying only a few fixed peers takes seconds to spread by gossip in a large fleet, and
+meanwhile callers are sent to a node that no longer accepts connections."""
 KNOWN_STATES = frozenset(int(state) for state in NodeState)
 
 
 class Gossiper:
-    """Run one exchange a round: constant cost, whatever the fleet's size."""
+    """Exchanges gossip with one peer per round, at a cost independent of fleet size."""
 
     def __init__(
         self,
@@ -57,22 +57,22 @@
         self._on_change = on_change
         self._runners_version = runners_version
         self._on_newer_runners = on_newer_runners
-        self._on_stranger = on_unknown_peer
+        self._on_unknown_peer = on_unknown_peer
         self._store_ages = store_ages
         self._on_gossip = on_gossip
         self._crash_notes = crash_notes
         self._evacuations_version = evacuations_version
-        self._pushed: dict[int, tuple[str, dict[str, LoadShare]]] = {}
+        self._pending_probes: dict[int, tuple[str, dict[str, LoadShare]]] = {}
         self._pool_names: dict[int, str] = {}
         socket.handle(Gossip, self._receive)
 
     def set_pools(self, pools: set[str]) -> None:
-        """Take the names of pools, which cross the wire as hashes."""
+        """Set the known pool names; messages identify pools by a hash of the name."""
         self._pool_names = {hash_text(pool): pool for pool in pools}
 
     async def run_round(self) -> None:
-        """Probe one node; an earlier probe still unanswered counts as missed."""
-        self._count_missed()
+        """Probe one node, and record earlier probes without a reply as missed."""
+        self._record_missed_probes()
         node = self._membership.next_probe()
         if node is None:
             return
@@ -80,26 +80,26 @@
         if node.region == self._membership.local_node.region:
             shares = self._mean_load.begin_round()
         sequence = self._socket.next_ask_id()
-        self._pushed[sequence] = (node.node_id, shares)
+        self._pending_probes[sequence] = (node.node_id, shares)
         self._send(node, sequence=sequence, is_reply=False, shares=shares)
 
     def announce(self) -> None:
-        """Tell some peers at once what is new, without waiting for a round.
+        """Send the current state to a sample of peers without waiting for a round.
 
-        A change that only waits for its turn to be gossiped takes a second to reach
-        everyone, seen as calls on a leaving node. The receivers' replies count as no
-        probe: the number is not kept.
+        A change spread by regular gossip alone takes a second to reach all nodes, and
+        a leaving node keeps receiving calls meanwhile. Announcements do not count as
+        probes, so their sequence numbers are not recorded.
         """
-        for node in self._membership.sample(MOST_ANNOUNCED):
+        for node in self._membership.sample(MAX_ANNOUNCED_PEERS):
             self._send(
                 node, sequence=self._socket.next_ask_id(), is_reply=True, shares={}
             )
 
-    def _count_missed(self) -> None:
-        # The gossip interval is no shorter than the probe's timeout, so whatever is
-        # still here has had its time.
-        missed = list(self._pushed.values())
-        self._pushed.clear()
+    def _record_missed_probes(self) -> None:
+        # The gossip interval is at least the probe timeout, so all pending probes have
+        # timed out.
+        missed = list(self._pending_probes.values())
+        self._pending_probes.clear()
         for node_id, _ in missed:
             if self._membership.record_missed_probe(node_id):
                 log_event(Event.NODE_DOWN, node=node_id)
@@ -108,8 +108,8 @@
     def _receive(self, received: PeerMessage) -> None:
         node = self._find_node(received.peer)
         if node is None:
-            if self._on_stranger is not None:
-                self._on_stranger(received.peer)
+            if self._on_unknown_peer is not None:
+                self._on_unknown_peer(received.peer)
             return
         gossip: Gossip = received.message
         if self._membership.record_message(
@@ -117,12 +117,12 @@
         ):
             log_event(Event.NODE_BACK, node=node.node_id)
             self._on_change()
-        self._hear_rumours(gossip.rumours)
+        self._apply_updates(gossip.rumours)
         shares = self._to_shares(gossip.loads)
         if gossip.is_reply:
-            self._take_reply(gossip.sequence, shares)
+            self._apply_reply(gossip.sequence, shares)
         else:
-            self._answer(node, gossip.sequence, shares)
+            self._reply(node, gossip.sequence, shares)
         if gossip.settings_version > self._settings_version():
             self._on_newer_settings(node, gossip.settings_version)
         self._on_gossip(node, gossip)
@@ -131,12 +131,12 @@
         if gossip.runners_version > self._runners_version():
             self._on_newer_runners(node, gossip.runners_version)
 
-    def _take_reply(self, sequence: int, replied: dict[str, LoadShare]) -> None:
-        pushed = self._pushed.pop(sequence, None)
+    def _apply_reply(self, sequence: int, replied: dict[str, LoadShare]) -> None:
+        pushed = self._pending_probes.pop(sequence, None)
         if pushed is not None and pushed[1]:
             self._mean_load.finish_round(pushed=pushed[1], replied=replied)
 
-    def _answer(self, node: Node, sequence: int, pushed: dict[str, LoadShare]) -> None:
+    def _reply(self, node: Node, sequence: int, pushed: dict[str, LoadShare]) -> None:
         shares: dict[str, LoadShare] = {}
         if node.region == self._membership.local_node.region:
             shares = self._mean_load.merge(pushed)
@@ -150,9 +150,9 @@
             PoolLoad(hash_text(pool), share.load, share.runners)
             for pool, share in shares.items()
         ]
-        notes = [
-            RumourNote(rumour.node_id, rumour.incarnation, int(rumour.state))
-            for rumour in self._membership.updates_to_send(receiver=node.node_id)
+        rumour_notes = [
+            RumourNote(update.node_id, update.incarnation, int(update.state))
+            for update in self._membership.updates_to_send(receiver=node.node_id)
         ]
         ages = self._store_ages()
         message = Gossip(
@@ -160,7 +160,7 @@
             is_reply,
             self._settings_version(),
             loads,
-            notes,
+            rumour_notes,
             self._runners_version(),
             ages.state_ms,
             ages.runners_ms,
@@ -170,16 +170,16 @@
         )
         self._socket.send(PeerAddress.of(node), message)
 
-    def _hear_rumours(self, notes: list[RumourNote]) -> None:
+    def _apply_updates(self, rumour_notes: list[RumourNote]) -> None:
         changed = False
-        for note in notes:
+        for note in rumour_notes:
             if note.state not in KNOWN_STATES:
-                # A node of a later version may know more states.
+                # Nodes that run a later release may send additional states.
                 continue
-            rumour = MembershipUpdate(
+            update = MembershipUpdate(
                 note.node_id, note.incarnation, NodeState(note.state)
             )
-            changed = self._membership.apply_update(rumour) or changed
+            changed = self._membership.apply_update(update) or changed
         if changed:
             self._on_change()
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
@@ -1,4 +1,4 @@
-"""Follow the platform's host list and hand it to membership and runner table."""
+"""Watch the platform's host list and update the membership and the runner table."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from clementineyoke_node.timers.timer_service import TimerService
     from clementineyoke_wire.bodies import HostBody
 
-RETRY_PAUSE_S = 1.0
+RETRY_DELAY_S = 1.0
 ENTRY_ROLE = "entry"
 LEAVING = "leaving"
 
 
 class HostWatcher:
-    """Own the watch. An outage leaves the last list in force."""
+    """Watches the host list; during an outage the last known list stays in effect."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         self._revision = 0
         self._tasks = BackgroundTasks()
         self.ready = asyncio.Event()
-        """Set once a list has been taken."""
+        """Set once a host list has been applied."""
 
     async def __aenter__(self) -> Self:
-        """Begin to watch."""
+        """Start watching."""
         self._tasks.spawn(self._follow(), name="host_watcher")
         return self
 
@@ -65,11 +65,11 @@
                 )
             except PlatformError as error:
                 log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self._take(changes)
+            self._apply_changes(changes)
 
-    def _take(self, changes: HostChanges) -> None:
+    def _apply_changes(self, changes: HostChanges) -> None:
         self._revision = changes.revision
         if changes.is_whole:
             self._hosts = {}
@@ -77,21 +77,21 @@
         for name in changes.gone:
             self._hosts.pop(name, None)
         if changes.is_whole or changes.hosts or changes.gone:
-            self._apply()
+            self._update_listeners()
             log_event(Event.HOSTS_CHANGED, revision=self._revision)
         self.ready.set()
 
-    def _apply(self) -> None:
+    def _update_listeners(self) -> None:
         nodes: list[Node] = []
         leaving_nodes: list[Node] = []
         runners: list[Runner] = []
         leaving_runners: list[Runner] = []
         for host in self._hosts.values():
-            leaves = host["state"] == LEAVING
+            is_leaving = host["state"] == LEAVING
             if host["role"] == ENTRY_ROLE:
-                (leaving_nodes if leaves else nodes).append(_to_node(host))
+                (leaving_nodes if is_leaving else nodes).append(_to_node(host))
             else:
-                (leaving_runners if leaves else runners).append(_to_runner(host))
+                (leaving_runners if is_leaving else runners).append(_to_runner(host))
         self._membership.apply_host_list(live=nodes, leaving=leaving_nodes)
         self._table.apply_host_list(
             live=runners, leaving=leaving_runners, now_ms=self._timers.now_ms()
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
@@ -1,4 +1,4 @@
-"""Make nodes known to each other where no host list does."""
+"""Introduce nodes to each other in deployments without a host list."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Introducer:
-    """Say hello to nodes that were read of, and answer the hellos of others.
+    """Sends a hello to the nodes listed in the store and replies to received ones.
 
-    The list in the store is read at the start only. A node that starts later is known
-    to the others by its hello, for one datagram each instead of a watch on every node.
-    A hello that was lost is made up for: gossip from a stranger is answered with one.
+    Each node reads the list only when it starts. Later nodes introduce themselves by a
+    hello, which costs one datagram per peer instead of a watch on every node. A lost
+    hello is repeated when gossip from an unknown peer arrives.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         socket.handle(NodeHello, self._receive)
 
     def add_nodes(self, nodes: Iterable[Node]) -> None:
-        """Take nodes that were read of and say hello to them."""
+        """Add nodes to the membership and send each of them a hello."""
         changed = False
         for node in nodes:
             if node.node_id == self._membership.local_node.node_id:
@@ -48,7 +48,7 @@
             self._on_change()
 
     def send_hello(self, peer: PeerAddress) -> None:
-        """Say hello to whoever is at an address."""
+        """Send a hello to an address."""
         self._send(peer, is_reply=False)
 
     def _send(self, peer: PeerAddress, *, is_reply: bool) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/limits/team_limiter.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/limits/team_limiter.py
@@ -66,7 +66,7 @@
             return self._receive_share(purse, self._grant(team_path, 1))
         ask = ShareAsk(self._socket.next_ask_id(), team_path, wanted)
         try:
-            reply = await self._socket.ask(
+            reply = await self._socket.request(
                 home, ask, reply_type=ShareReply, timeout_ms=self._timeout_ms
             )
         except TimeoutError:
--- a/packages/clementineyoke-node/src/clementineyoke_node/peers/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/peers/__init__.py
@@ -1,3 +1,3 @@
-"""Datagrams between nodes."""
+"""UDP messages between nodes."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket between nodes: sealed datagrams, replies matched to asks."""
+"""UDP socket for messages between nodes: signed datagrams, request and reply."""
 
 from __future__ import annotations
 
@@ -23,33 +23,33 @@
     )
     from clementineyoke_wire.seal import Seal
 
-    Ask = SlotAsk | ClaimRequest | ShareAsk
+    Request = SlotAsk | ClaimRequest | ShareAsk
 
 MS_PER_S = 1000.0
-R = TypeVar("R")
+ReplyT = TypeVar("ReplyT")
 ASK_ID_BITS = 32
 DATAGRAM_OVERHEAD_BYTES = 28
-"""IP and UDP headers, counted with each datagram."""
+"""Size of the IPv4 and UDP headers, added to the size of each datagram."""
 
 
 class PeerAddress(NamedTuple):
-    """Where a datagram came from or goes to."""
+    """Source or destination of a datagram."""
 
     address: str
     port: int
 
     def __str__(self) -> str:
-        """Return the address as logs show it."""
+        """Return ``address:port``, as used in logs."""
         return f"{self.address}:{self.port}"
 
     @classmethod
     def of(cls, node: Node) -> Self:
-        """Return where a node listens for peers."""
+        """Return the address on which a node receives messages from peers."""
         return cls(node.address, node.peer_port)
 
 
 class PeerMessage(NamedTuple):
-    """A message with its sender."""
+    """A received message with its sender and the sender's incarnation."""
 
     peer: PeerAddress
     incarnation: int
@@ -57,7 +57,7 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Own the socket. Handlers get messages; ``ask`` waits for the reply to one."""
+    """Sends messages and passes received ones to handlers or to pending requests."""
 
     def __init__(
         self, *, seal: Seal, address: PeerAddress, incarnation: int, rng: Random
@@ -67,10 +67,10 @@
         self._incarnation = incarnation
         self._transport: asyncio.DatagramTransport | None = None
         self._handlers: dict[type, Callable[[PeerMessage], None]] = {}
-        self._waiting: dict[tuple[type, int], asyncio.Future[Any]] = {}
+        self._pending_replies: dict[tuple[type, int], asyncio.Future[Any]] = {}
         self._next_ask_id = rng.getrandbits(ASK_ID_BITS)
         self.sent_bytes: Counter[str] = Counter()
-        """Bytes sent by message kind, headers of IP and UDP included."""
+        """Bytes sent per message kind, including IP and UDP headers."""
         self.received_bytes = 0
 
     async def __aenter__(self) -> Self:
@@ -88,19 +88,19 @@
 
     @property
     def own_address(self) -> str:
-        """The IP number that this node sends from."""
+        """The IP address that this node sends from."""
         return self._address.address
 
     def set_incarnation(self, incarnation: int) -> None:
-        """Send with a new incarnation from now on."""
+        """Set the incarnation that is sent with subsequent messages."""
         self._incarnation = incarnation
 
     def next_ask_id(self) -> int:
-        """Return a number that this node has not used lately.
+        """Return an ID that this node has not used recently.
 
-        It starts anywhere: homes know a hold by address and number, and one of the
-        previous process at this address would be taken for this one's, seen as a slot
-        that is granted and not counted.
+        The first ID is random. Homes identify a slot's holder by address and ID; an ID
+        reused from the previous process at this address would be taken for the same
+        holder, so that a slot would be granted but not counted.
         """
         self._next_ask_id = (self._next_ask_id + 1) % 2**ASK_ID_BITS
         return self._next_ask_id
@@ -108,15 +108,15 @@
     def handle(
         self, message_type: type, handler: Callable[[PeerMessage], None]
     ) -> None:
-        """Hand messages of a type to a handler."""
+        """Register the handler for a message type."""
         self._handlers[message_type] = handler
 
     def send(self, peer: PeerAddress, message: Message) -> None:
-        """Send a message; it may be lost."""
+        """Send a message without delivery guarantee."""
         self.send_all((peer,), message)
 
     def send_all(self, peers: Iterable[PeerAddress], message: Message) -> None:
-        """Send one message to many, encoded once; each may be lost."""
+        """Send a message to several peers, encoded once, without delivery guarantee."""
         if self._transport is None or self._transport.is_closing():
             return
         datagram = self._seal.sign(encode(message, incarnation=self._incarnation))
@@ -125,28 +125,33 @@
             self.sent_bytes[kind_of(message)] += size_bytes
             self._transport.sendto(datagram, peer)
 
-    async def ask(
-        self, node: Node, message: Ask, *, reply_type: type[R], timeout_ms: float
-    ) -> R:
-        """Send an ask to a node and return its reply.
-
-        Raises ``TimeoutError`` without one.
+    async def request(
+        self,
+        node: Node,
+        message: Request,
+        *,
+        reply_type: type[ReplyT],
+        timeout_ms: float,
+    ) -> ReplyT:
+        """Send a request to a node and return the reply.
+
+        Raises ``TimeoutError`` if no reply arrives within ``timeout_ms``.
         """
         key = (reply_type, message.ask_id)
-        future: asyncio.Future[R] = asyncio.get_running_loop().create_future()
-        self._waiting[key] = future
+        future: asyncio.Future[ReplyT] = asyncio.get_running_loop().create_future()
+        self._pending_replies[key] = future
         try:
             self.send(PeerAddress.of(node), message)
             return await asyncio.wait_for(future, timeout_ms / MS_PER_S)
         finally:
-            del self._waiting[key]
+            del self._pending_replies[key]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport that the event loop made."""
+        """Store the transport created by the event loop."""
         self._transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Check, decode and hand over one datagram."""
+        """Verify, decode and dispatch a datagram."""
         peer = PeerAddress(addr[0], addr[1])
         self.received_bytes += len(data) + DATAGRAM_OVERHEAD_BYTES
         try:
@@ -154,12 +159,12 @@
         except WireError as error:
             log_event(Event.DATAGRAM_REFUSED, peer=str(peer), step=error.step)
             return
-        self._hand_over(PeerMessage(peer, received.incarnation, received.message))
+        self._dispatch(PeerMessage(peer, received.incarnation, received.message))
 
-    def _hand_over(self, received: PeerMessage) -> None:
+    def _dispatch(self, received: PeerMessage) -> None:
         message = received.message
         reply_id = getattr(message, "ask_id", None)
-        future = self._waiting.get((type(message), reply_id or 0))
+        future = self._pending_replies.get((type(message), reply_id or 0))
         if future is not None:
             if not future.done():
                 future.set_result(message)
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/__init__.py
@@ -1,3 +1,3 @@
-"""Slots on runners: asking for them and granting them."""
+"""Slots on runners: acquiring them and granting them."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
@@ -1,4 +1,4 @@
-"""The asking side: find a runner for a request and hold a slot on it."""
+"""Client side of slot allocation: acquire a slot on a runner for a request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from clementineyoke_core.slot_ledger import SlotGrant, SlotHolder, SlotRefusal
 from clementineyoke_core.slot_search import SlotAttempt, SlotSearch
 from clementineyoke_node.peers.peer_socket import PeerAddress
-from clementineyoke_node.slots.slot_lease import PassedOver, SlotLease
+from clementineyoke_node.slots.slot_lease import SkippedRunner, SlotLease
 from clementineyoke_wire.events import Event, log_event
 from clementineyoke_wire.messages import (
     RunnerFault,
@@ -37,12 +37,12 @@
 
 
 MS_PER_S = 1000.0
-LONGEST_WAIT_MS = 60_000
-"""What fits the message's field; settings allow no longer wait."""
+MAX_WAIT_MS = 60_000
+"""Fits the ``wait_ms`` field of ``SlotAsk``; settings allow no longer wait."""
 
 
 class SlotBroker:
-    """Own the leases of this node's requests."""
+    """Acquires, renews and releases the slot leases of this node's requests."""
 
     def __init__(
         self,
@@ -56,7 +56,10 @@
         timeout_ms: float,
         is_cold: Callable[[Runner], bool] = lambda _: False,
     ) -> None:
-        """Take the parts; ``is_cold`` tells which runners bear few calls for now."""
+        """Create a broker.
+
+        ``is_cold`` returns whether a runner handles only a limited call rate for now.
+        """
         self._membership = membership
         self._own_id = membership.local_node.node_id
         self._table = table
@@ -70,68 +73,68 @@
         self._last_in_use: dict[str, int] = {}
         self._answered: set[int] = set()
 
-    async def acquire(self, wish: SlotRequest) -> SlotLease | None:
-        """Return a lease on the first runner that grants one.
+    async def acquire(self, request: SlotRequest) -> SlotLease | None:
+        """Return a lease on the first runner that grants one, or None.
 
-        The preferred runner, if it is ready and of the pool, is asked before the
-        others in the key's order. With none under its bound the request waits at the
-        first one's home.
+        The preferred runner, if it is ready and belongs to the pool, is tried before
+        the others in the key's order. If all are at their bound, the request queues at
+        the home of the first runner.
         """
-        search = self._make_search(wish)
-        first: SlotAttempt | None = None
+        search = self._make_search(request)
+        first_attempt: SlotAttempt | None = None
         while (attempt := search.next_attempt()) is not None:
-            first = first or attempt
+            first_attempt = first_attempt or attempt
             runner = self._runner_of(attempt)
             if runner is None:
                 search.record_timeout(attempt)
                 continue
             ask_id = self._socket.next_ask_id()
-            answer = await self._ask(runner, attempt, ask_id, wish.load_factor)
-            if answer is None:
+            result = await self._request_slot(
+                runner, attempt, ask_id, request.load_factor
+            )
+            if result is None:
                 search.record_timeout(attempt)
-            elif is_successful(answer):
+            elif is_successful(result):
                 reason = "affinity" if attempt.rank == 0 else "displaced"
-                lease = self._keep(
+                lease = self._create_lease(
                     runner,
                     attempt,
                     ask_id,
                     reason=reason,
-                    passed_over=self._explain_passed(search, wish, runner),
+                    passed_over=self._list_skipped(search, request, runner),
                 )
                 if lease is not None:
                     return lease
             else:
-                refusal = answer.failure()
+                refusal = result.failure()
                 search.record_refusal(
                     attempt, in_use=refusal.in_use, is_held=refusal.is_held
                 )
-        last_choice = search.fallback(
-            self._last_in_use, is_eligible=self._may_take_uncounted
-        )
-        if last_choice is not None:
-            runner = self._runner_of(last_choice)
+        fallback = search.fallback(self._last_in_use, is_eligible=self._may_bypass_home)
+        if fallback is not None:
+            runner = self._runner_of(fallback)
             if runner is None:
                 return None
             ask_id = self._socket.next_ask_id()
-            return self._keep(runner, last_choice, ask_id, reason="home_silent")
-        if first is None or wish.wait_ms <= 0:
+            return self._create_lease(runner, fallback, ask_id, reason="home_silent")
+        if first_attempt is None or request.wait_ms <= 0:
             return None
-        return await self._wait(first, wish)
+        return await self._wait_for_slot(first_attempt, request)
 
     def has_available_runner(self, pool: str) -> bool:
-        """Whether any runner of a pool takes new calls."""
+        """Return whether any runner of a pool accepts new calls."""
         return self.has_untried_runner(pool, set())
 
     def backoff_left_ms(self, pool: str, *, now_ms: float) -> float:
-        """Return the shortest time left to back off from a runner of a pool, or 0."""
+        """Return the shortest remaining backoff of a pool's runners, or 0."""
         return self._table.backoff_remaining_ms(pool, now_ms=now_ms)
 
     def has_untried_runner(self, pool: str, tried: set[str]) -> bool:
-        """Whether a pool has a ready runner besides those that were tried."""
+        """Return whether a pool has a ready runner that is not in ``tried``."""
         return any(runner_id not in tried for runner_id in self._rings.order(pool, 0))
 
     def adopt(self, runner: Runner) -> SlotLease:
-        """Hold a slot for work that is on the runner already, whatever its load."""
+        """Return a lease for work that already runs on a runner, whatever its load."""
         ask_id = self._socket.next_ask_id()
         lease = SlotLease(runner, ask_id, "resume", 0)
         self._leases[ask_id] = lease
@@ -140,18 +143,21 @@
 
     @contextmanager
     def holding(self, lease: SlotLease) -> Iterator[SlotLease]:
-        """Give the slot back at the end, however the request ended."""
+        """Release the lease when the block exits, also on an error."""
         try:
             yield lease
         finally:
-            self._release(lease)
+            self._end_lease(lease)
 
     def record_answered(self, lease: SlotLease) -> None:
-        """Note that the runner answered; its home is told with the slot's release."""
+        """Record that the runner answered.
+
+        The runner's home learns of it with the release of the slot.
+        """
         self._answered.add(lease.ask_id)
 
     def report_fault(self, runner: Runner, *, is_unreachable: bool = False) -> None:
-        """Tell a runner's home that a call there failed or is overdue."""
+        """Report to a runner's home that a call to the runner failed or is overdue."""
         home = self._home_of(runner.runner_id)
         if home is None:
             return
@@ -167,15 +173,15 @@
             self._slot_home.record_fault(runner.runner_id)
 
     def evacuated_zones(self) -> dict[str, int]:
-        """Return the zones that were passed over, with the orders' revisions."""
+        """Return the evacuated zones with the revision of each evacuation order."""
         return self._table.evacuated_zones()
 
     def lease_count(self) -> int:
-        """Return how many slots this node's requests hold."""
+        """Return the number of slots held by this node's requests."""
         return len(self._leases)
 
     async def renew(self) -> None:
-        """Renew all leases, one message a runner."""
+        """Renew all leases with one message per runner."""
         by_runner: dict[Runner, list[int]] = {}
         for lease in self._leases.values():
             by_runner.setdefault(lease.runner, []).append(lease.ask_id)
@@ -185,27 +191,27 @@
     def _renew_at_home(self, runner: Runner, ask_ids: list[int]) -> None:
         home = self._home_of(runner.runner_id)
         if home is None or not self._table.is_current(runner):
-            # What was sent to a lifetime that is over runs nowhere.
+            # Requests sent to a previous lifetime of the runner no longer run.
             return
         if home.node_id == self._own_id:
             for ask_id in ask_ids:
-                self._slot_home.renew(runner.runner_id, self._own_hold(ask_id))
+                self._slot_home.renew(runner.runner_id, self._own_holder(ask_id))
             return
         renewal = SlotRenewal(runner.lifetime_hash, ask_ids)
         self._socket.send(PeerAddress.of(home), renewal)
 
-    async def _ask(
+    async def _request_slot(
         self, runner: Runner, attempt: SlotAttempt, ask_id: int, load_factor: float
     ) -> Result[SlotGrant, SlotRefusal] | None:
-        """Return the home's answer, or None if it gave none."""
+        """Return the home's result, or None if the home did not reply in time."""
         runner_id = runner.runner_id
         home = self._home_of(runner_id)
         if home is None:
             return None
         if home.node_id == self._own_id:
-            return self._slot_home.ask(
+            return self._slot_home.acquire(
                 runner_id,
-                self._own_hold(ask_id),
+                self._own_holder(ask_id),
                 seen_mean=attempt.seen_mean,
                 load_factor=load_factor,
             )
@@ -213,36 +219,40 @@
             ask_id, runner.lifetime_hash, attempt.seen_mean, load_factor=load_factor
         )
         try:
-            reply = await self._socket.ask(
+            reply = await self._socket.request(
                 home, ask, reply_type=SlotReply, timeout_ms=self._timeout_ms
             )
         except asyncio.CancelledError:
-            # The caller is gone; the ask may yet be granted, to nobody.
-            self._give_back(runner, ask_id)
+            # The caller disconnected, but the home may still grant the slot.
+            self._release_at_home(runner, ask_id)
             raise
         except TimeoutError:
             log_event(Event.HOME_SILENT, home=home.node_id, runner=runner_id)
             self._membership.suspect(home.node_id)
-            # The ask may have been granted and only its reply lost.
-            self._give_back(runner, ask_id)
+            # The home may have granted the slot and only the reply was lost.
+            self._release_at_home(runner, ask_id)
             return None
         self._last_in_use[runner_id] = reply.in_use
         if reply.granted:
             return Success(SlotGrant(runner_id, reply.in_use))
         return Failure(SlotRefusal(runner_id, reply.in_use, reply.is_held))
 
-    def _make_search(self, wish: SlotRequest) -> SlotSearch:
+    def _make_search(self, request: SlotRequest) -> SlotSearch:
         order = (
             runner_id
-            for runner_id in self._rings.order(wish.pool, wish.key)
-            if runner_id not in wish.tried
+            for runner_id in self._rings.order(request.pool, request.key)
+            if runner_id not in request.tried
         )
-        preferred = wish.preferred
-        if preferred in wish.tried or not self._rings.has_ready(wish.pool, preferred):
+        preferred = request.preferred
+        if preferred in request.tried or not self._rings.has_ready(
+            request.pool, preferred
+        ):
             preferred = None
         return SlotSearch(order=order, preferred=preferred)
 
-    async def _wait(self, attempt: SlotAttempt, wish: SlotRequest) -> SlotLease | None:
+    async def _wait_for_slot(
+        self, attempt: SlotAttempt, request: SlotRequest
+    ) -> SlotLease | None:
         runner = self._runner_of(attempt)
         home = self._home_of(attempt.runner_id)
         if home is None or runner is None:
@@ -250,97 +260,102 @@
         ask_id = self._socket.next_ask_id()
         try:
             if home.node_id == self._own_id:
-                granted = await self._wait_here(runner.runner_id, ask_id, wish)
+                granted = await self._wait_locally(runner.runner_id, ask_id, request)
             else:
-                granted = await self._wait_at(home, runner, ask_id, wish)
+                granted = await self._wait_remotely(home, runner, ask_id, request)
         except (TimeoutError, asyncio.CancelledError) as error:
-            # Given up: a grant under way must not hold the slot until it lapses.
-            self._give_back(runner, ask_id)
+            # A grant that is still on its way would occupy the slot until its lease
+            # expires.
+            self._release_at_home(runner, ask_id)
             if isinstance(error, asyncio.CancelledError):
                 raise
             return None
         if not granted:
             return None
-        return self._keep(runner, attempt, ask_id, reason="waited")
+        return self._create_lease(runner, attempt, ask_id, reason="waited")
 
-    async def _wait_here(self, runner_id: str, ask_id: int, wish: SlotRequest) -> bool:
+    async def _wait_locally(
+        self, runner_id: str, ask_id: int, request: SlotRequest
+    ) -> bool:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
 
-        def answer(granted: bool) -> None:
+        def resolve(granted: bool) -> None:
             if not future.done():
                 future.set_result(granted)
 
-        self._slot_home.wait(
+        self._slot_home.enqueue(
             runner_id,
-            self._own_hold(ask_id),
-            team=wish.team,
-            priority=wish.priority,
-            wait_ms=wish.wait_ms,
-            on_answer=answer,
+            self._own_holder(ask_id),
+            team=request.team,
+            priority=request.priority,
+            wait_ms=request.wait_ms,
+            on_result=resolve,
         )
-        return await asyncio.wait_for(future, wish.wait_ms / MS_PER_S)
+        return await asyncio.wait_for(future, request.wait_ms / MS_PER_S)
 
-    async def _wait_at(
-        self, home: Node, runner: Runner, ask_id: int, wish: SlotRequest
+    async def _wait_remotely(
+        self, home: Node, runner: Runner, ask_id: int, request: SlotRequest
     ) -> bool:
         ask = SlotAsk(
             ask_id,
             runner.lifetime_hash,
             0.0,
-            wait_ms=min(wish.wait_ms, LONGEST_WAIT_MS),
-            team=wish.team,
-            priority=wish.priority,
+            wait_ms=min(request.wait_ms, MAX_WAIT_MS),
+            team=request.team,
+            priority=request.priority,
         )
-        reply = await self._socket.ask(
+        reply = await self._socket.request(
             home, ask, reply_type=SlotReply, timeout_ms=ask.wait_ms
         )
         return reply.granted
 
-    def _explain_passed(
-        self, search: SlotSearch, wish: SlotRequest, runner: Runner
-    ) -> tuple[PassedOver, ...]:
+    def _list_skipped(
+        self, search: SlotSearch, request: SlotRequest, runner: Runner
+    ) -> tuple[SkippedRunner, ...]:
         held = tuple(
-            PassedOver(
-                runner_id, "paused" if self._may_take_uncounted(runner_id) else "cold"
+            SkippedRunner(
+                runner_id, "paused" if self._may_bypass_home(runner_id) else "cold"
             )
             for runner_id in search.held_runner_ids()
         )
-        closed = self._rings.unavailable_before(wish.pool, wish.key, runner.runner_id)
-        return held + tuple(PassedOver(*one) for one in closed)
+        unavailable = self._rings.unavailable_before(
+            request.pool, request.key, runner.runner_id
+        )
+        return held + tuple(SkippedRunner(*entry) for entry in unavailable)
 
-    def _keep(
+    def _create_lease(
         self,
         runner: Runner,
         attempt: SlotAttempt,
         ask_id: int,
         *,
         reason: str,
-        passed_over: tuple[PassedOver, ...] = (),
+        passed_over: tuple[SkippedRunner, ...] = (),
     ) -> SlotLease | None:
-        if not self._takes_calls(runner):
-            # It changed while the home was asked.
-            self._give_back(runner, ask_id)
+        if not self._accepts_calls(runner):
+            # The runner's state changed while the request to the home was pending.
+            self._release_at_home(runner, ask_id)
             return None
         lease = SlotLease(runner, ask_id, reason, attempt.rank, passed_over)
         self._leases[ask_id] = lease
         return lease
 
-    def _takes_calls(self, runner: Runner) -> bool:
-        """Whether a runner is current, and not draining, backed off or evacuated."""
+    def _accepts_calls(self, runner: Runner) -> bool:
+        """Return False for an outdated, draining, backed off or evacuated runner."""
         if not self._table.is_current(runner) or self._table.is_evacuated(runner):
             return False
         if self._table.is_backed_off(runner):
             return False
         return not self._table.is_draining(runner.runner_id)
 
-    def _release(self, lease: SlotLease) -> None:
+    def _end_lease(self, lease: SlotLease) -> None:
         self._leases.pop(lease.ask_id, None)
         is_answered = lease.ask_id in self._answered
         self._answered.discard(lease.ask_id)
-        self._give_back(lease.runner, lease.ask_id, is_answered=is_answered)
+        self._release_at_home(lease.runner, lease.ask_id, is_answered=is_answered)
 
-    def _give_back(
+    def _release_at_home(
         self, runner: Runner, ask_id: int, *, is_answered: bool = False
     ) -> None:
         home = self._home_of(runner.runner_id)
@@ -349,15 +364,16 @@
         if home.node_id == self._own_id:
             if is_answered:
                 self._slot_home.record_answer(runner.runner_id)
-            self._slot_home.release(runner.runner_id, self._own_hold(ask_id))
+            self._slot_home.release(runner.runner_id, self._own_holder(ask_id))
             return
         release = SlotRelease(ask_id, runner.lifetime_hash, is_answered)
         self._socket.send(PeerAddress.of(home), release)
 
-    def _may_take_uncounted(self, runner_id: str) -> bool:
-        """Whether a runner may get a call that its home has not granted.
+    def _may_bypass_home(self, runner_id: str) -> bool:
+        """Return whether a call may be sent to a runner without a grant from its home.
 
-        Each node would send such calls to a cold runner on its own, and it would end.
+        Cold runners are excluded: each node would send such calls independently, and
+        the total would crash the runner.
         """
         entry = self._table.get(runner_id)
         return entry is not None and not self._is_cold(entry.runner)
@@ -370,5 +386,5 @@
         home_id = self._homes.home_of(runner_id)
         return None if home_id is None else self._membership.node(home_id)
 
-    def _own_hold(self, ask_id: int) -> SlotHolder:
+    def _own_holder(self, ask_id: int) -> SlotHolder:
         return SlotHolder(self._own_id, ask_id)
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
@@ -1,4 +1,4 @@
-"""The home's side: grant slots on the runners that this node is home of."""
+"""Server side of slot allocation: grant slots on the runners homed on this node."""
 
 from __future__ import annotations
 
@@ -42,7 +42,11 @@
 
 
 class SlotHome:
-    """Own the ledger; answer asks from peers and from this node."""
+    """Grants and refuses slots requested by peers and by this node.
+
+    Each runner has one home node, which keeps the authoritative count of the runner's
+    slots in use.
+    """
 
     def __init__(
         self,
@@ -57,10 +61,10 @@
         cold_runners: ColdRunners | None = None,
         load_bound: LoadBound = DEFAULT_BOUND,
     ) -> None:
-        self._faults = FaultRateBreaker()
-        self._reachability = ReachabilityBreaker()
-        self._cold = cold_runners or ColdRunners()
-        self._cold_pace = ColdRunnerPacer()
+        self._fault_breaker = FaultRateBreaker()
+        self._reachability_breaker = ReachabilityBreaker()
+        self._cold_runners = cold_runners or ColdRunners()
+        self._cold_pacer = ColdRunnerPacer()
         self._load_bound = load_bound
         self._own_id = own_id
         self._ledger = ledger
@@ -69,163 +73,173 @@
         self._mean_load = mean_load
         self._socket = socket
         self._timers = timers
-        self._names: dict[int, str] = {}
+        self._runner_ids_by_hash: dict[int, str] = {}
         self._lifetimes: dict[str, str] = {}
-        self._homed: dict[str, list[str]] = {}
+        self._homed_runners: dict[str, list[str]] = {}
         self._queues: dict[str, SlotQueue] = {}
-        self._answers: dict[SlotHolder, Callable[[bool], None]] = {}
+        self._callbacks: dict[SlotHolder, Callable[[bool], None]] = {}
         socket.handle(SlotAsk, self._receive_ask)
         socket.handle(SlotRelease, self._receive_release)
         socket.handle(SlotRenewal, self._receive_renewal)
         socket.handle(RunnerFault, self._receive_fault)
 
     def rebuild(self) -> None:
-        """Work out which runners this node is home of, after any change of hosts."""
-        self._names = {}
+        """Recompute which runners this node is home of.
+
+        Must be called after each change of the host list.
+        """
+        self._runner_ids_by_hash = {}
         homed: dict[str, list[str]] = {}
         entries = self._table.entries()
-        self._forget_reborn({e.runner.runner_id: e.runner.lifetime for e in entries})
+        self._remove_restarted({e.runner.runner_id: e.runner.lifetime for e in entries})
         for entry in entries:
             runner = entry.runner
-            self._names[runner.lifetime_hash] = runner.runner_id
+            self._runner_ids_by_hash[runner.lifetime_hash] = runner.runner_id
             if entry.state is RunnerState.DRAINING:
                 continue
             if self._homes.home_of(runner.runner_id) == self._own_id:
                 homed.setdefault(runner.pool, []).append(runner.runner_id)
-        self._forget_moved({name for names in homed.values() for name in names})
-        emptied = self._homed.keys() - homed.keys()
-        self._homed = homed
+        self._remove_rehomed({name for names in homed.values() for name in names})
+        emptied = self._homed_runners.keys() - homed.keys()
+        self._homed_runners = homed
         for pool in homed.keys() | emptied:
-            self._report_load(pool)
+            self._set_load(pool)
 
-    def ask(
+    def acquire(
         self,
         runner_id: str,
-        hold: SlotHolder,
+        holder: SlotHolder,
         *,
         seen_mean: float,
         load_factor: float = 0.0,
     ) -> Result[SlotGrant, SlotRefusal]:
-        """Grant or refuse a slot at once; the asker may have seen a higher mean.
+        """Grant or refuse a slot immediately.
 
-        With ``load_factor`` the asker says how far over the mean its call may go.
+        ``seen_mean`` is the mean load that the requester observed, or 0; it overrides
+        this node's estimate if higher and marks the last request of a search.
+        ``load_factor`` is the multiple of the mean load up to which the call may go,
+        or 0 for this home's default.
         """
         now_ms = self._timers.now_ms()
         is_last_resort = seen_mean > 0.0
         is_paused = not is_last_resort and self._is_paused(runner_id, now_ms)
-        if is_paused or not self._bears_call(runner_id, now_ms):
+        if is_paused or not self._can_accept_call(runner_id, now_ms):
             in_use = self._ledger.in_use(runner_id)
             return Failure(SlotRefusal(runner_id, in_use, is_held=True))
-        bound = self._bound(runner_id, seen_mean, load_factor)
-        result = self._ledger.acquire(runner_id, hold, bound=bound, now_ms=now_ms)
+        bound = self._compute_bound(runner_id, seen_mean, load_factor)
+        result = self._ledger.acquire(runner_id, holder, bound=bound, now_ms=now_ms)
         if is_successful(result):
-            self._faults.record_call(runner_id, now_ms=now_ms)
-            self._note_pace(runner_id, now_ms)
-        self._report_runner(runner_id)
+            self._fault_breaker.record_call(runner_id, now_ms=now_ms)
+            self._record_cold_grant(runner_id, now_ms)
+        self._update_pool_load(runner_id)
         return result
 
-    def wait(
+    def enqueue(
         self,
         runner_id: str,
-        hold: SlotHolder,
+        holder: SlotHolder,
         *,
         team: int,
         priority: int,
         wait_ms: int,
-        on_answer: Callable[[bool], None],
+        on_result: Callable[[bool], None],
     ) -> None:
-        """Let an ask wait; it is answered once, unless its holder gives up first."""
-        gives_up_ms = self._timers.now_ms() + wait_ms
-        ask = QueuedRequest(hold, team, priority, gives_up_ms)
+        """Queue a request for a slot.
+
+        ``on_result`` is called once with whether the slot was granted, unless the
+        request is released before.
+        """
+        expires_at_ms = self._timers.now_ms() + wait_ms
+        queued = QueuedRequest(holder, team, priority, expires_at_ms)
         queue = self._queues.setdefault(runner_id, SlotQueue())
-        self._answers[ask.holder] = on_answer
-        turned_away = queue.add(ask)
-        if turned_away is not None:
-            self._answer_waiting(turned_away.holder, granted=False)
-        self._serve_waiting(runner_id)
-
-    def release(self, runner_id: str, hold: SlotHolder) -> None:
-        """Take a slot back, or a waiting ask out of the queue."""
+        self._callbacks[holder] = on_result
+        rejected = queue.add(queued)
+        if rejected is not None:
+            self._resolve(rejected.holder, granted=False)
+        self._serve_queue(runner_id)
+
+    def release(self, runner_id: str, holder: SlotHolder) -> None:
+        """Release a granted slot, or remove a request from the queue."""
         queue = self._queues.get(runner_id)
-        if queue is not None and queue.remove(hold):
-            self._answers.pop(hold, None)
-        self._ledger.release(runner_id, hold)
-        self._report_runner(runner_id)
-        self._serve_waiting(runner_id)
+        if queue is not None and queue.remove(holder):
+            self._callbacks.pop(holder, None)
+        self._ledger.release(runner_id, holder)
+        self._update_pool_load(runner_id)
+        self._serve_queue(runner_id)
 
-    def renew(self, runner_id: str, hold: SlotHolder) -> None:
-        """Keep or adopt a grant."""
-        self._ledger.renew(runner_id, hold, now_ms=self._timers.now_ms())
-        self._report_runner(runner_id)
+    def renew(self, runner_id: str, holder: SlotHolder) -> None:
+        """Extend a grant; an unknown one is adopted from a previous home."""
+        self._ledger.renew(runner_id, holder, now_ms=self._timers.now_ms())
+        self._update_pool_load(runner_id)
 
     def record_fault(self, runner_id: str) -> None:
-        """Note that a call at a runner failed or is overdue."""
-        if self._faults.record_fault(runner_id, now_ms=self._timers.now_ms()):
+        """Record that a call to a runner failed or is overdue."""
+        if self._fault_breaker.record_fault(runner_id, now_ms=self._timers.now_ms()):
             log_event(Event.RUNNER_PAUSED, runner=runner_id)
 
     def record_unreachable(self, runner_id: str, *, reporter: str) -> None:
-        """Note that a node could not open a connection to a runner."""
+        """Record that a node could not connect to a runner."""
         now_ms = self._timers.now_ms()
-        if self._reachability.record_unreachable(
+        if self._reachability_breaker.record_unreachable(
             runner_id, reporter=reporter, now_ms=now_ms
         ):
             log_event(Event.RUNNER_UNREACHABLE, runner=runner_id, reporter=reporter)
-            self._expect_cold(runner_id, now_ms)
+            self._assume_cold(runner_id, now_ms)
 
     def record_answer(self, runner_id: str) -> None:
-        """Note that a runner answered a call."""
-        self._reachability.record_answer(runner_id)
+        """Record that a runner answered a call."""
+        self._reachability_breaker.record_answer(runner_id)
 
     def loads(self) -> dict[str, int]:
-        """Return the slots in use on each runner that this node is home of."""
+        """Return the number of slots in use on each runner homed on this node."""
         return {
             runner_id: self._ledger.in_use(runner_id)
-            for runner_ids in self._homed.values()
+            for runner_ids in self._homed_runners.values()
             for runner_id in runner_ids
         }
 
     async def serve_queues(self) -> None:
-        """Serve queues whose bound has risen with the mean."""
+        """Serve the queues whose bound has risen with the mean load."""
         for runner_id in list(self._queues):
-            self._serve_waiting(runner_id)
+            self._serve_queue(runner_id)
 
     async def expire(self) -> None:
-        """Drop grants that nobody renewed."""
-        for runner_id, hold in self._ledger.expire(now_ms=self._timers.now_ms()):
-            log_event(Event.SLOT_LAPSED, runner=runner_id, holder=hold.node_id)
-            self._report_runner(runner_id)
+        """Drop the grants whose lease has expired."""
+        for runner_id, holder in self._ledger.expire(now_ms=self._timers.now_ms()):
+            log_event(Event.SLOT_LAPSED, runner=runner_id, holder=holder.node_id)
+            self._update_pool_load(runner_id)
 
     def _is_paused(self, runner_id: str, now_ms: float) -> bool:
-        return self._faults.is_paused(
+        return self._fault_breaker.is_paused(
             runner_id, now_ms=now_ms
-        ) or self._reachability.is_paused(runner_id, now_ms=now_ms)
+        ) or self._reachability_breaker.is_paused(runner_id, now_ms=now_ms)
 
-    def _forget(self, runner_id: str) -> None:
+    def _remove_runner(self, runner_id: str) -> None:
         self._ledger.remove_runner(runner_id)
-        self._faults.remove_runner(runner_id)
-        self._reachability.remove_runner(runner_id)
-        self._cold_pace.remove_runner(runner_id)
+        self._fault_breaker.remove_runner(runner_id)
+        self._reachability_breaker.remove_runner(runner_id)
+        self._cold_pacer.remove_runner(runner_id)
 
-    def _bears_call(self, runner_id: str, now_ms: float) -> bool:
-        """Whether a runner that may be cold bears one more call now."""
+    def _can_accept_call(self, runner_id: str, now_ms: float) -> bool:
+        """Return whether a runner, if it is cold, can accept another call now."""
         if self._cold_calls_per_s(runner_id, now_ms) is None:
             return True
-        return self._cold_pace.may_grant(runner_id, now_ms=now_ms)
+        return self._cold_pacer.may_grant(runner_id, now_ms=now_ms)
 
-    def _expect_cold(self, runner_id: str, now_ms: float) -> None:
-        """Take a runner that took no connections for one that starts anew.
+    def _assume_cold(self, runner_id: str, now_ms: float) -> None:
+        """Treat a runner that refused connections as restarting.
 
-        It may be back under its id before its entry can say so, and the calls that
-        waited for it would end it again.
+        It may be reachable under its ID again before its entry reports the restart.
+        Without the cold limit the queued calls would then crash it again.
         """
         entry = self._table.get(runner_id)
         if entry is not None:
-            self._cold.assume_cold(entry.runner, now_ms=now_ms)
+            self._cold_runners.assume_cold(entry.runner, now_ms=now_ms)
 
-    def _note_pace(self, runner_id: str, now_ms: float) -> None:
+    def _record_cold_grant(self, runner_id: str, now_ms: float) -> None:
         calls_per_s = self._cold_calls_per_s(runner_id, now_ms)
         if calls_per_s is not None:
-            self._cold_pace.record_grant(
+            self._cold_pacer.record_grant(
                 runner_id, calls_per_s=calls_per_s, now_ms=now_ms
             )
 
@@ -233,48 +247,50 @@
         entry = self._table.get(runner_id)
         if entry is None:
             return None
-        return self._cold.calls_per_s(entry.runner, now_ms=now_ms)
+        return self._cold_runners.calls_per_s(entry.runner, now_ms=now_ms)
 
-    def _serve_waiting(self, runner_id: str) -> None:
+    def _serve_queue(self, runner_id: str) -> None:
         queue = self._queues.get(runner_id)
         if queue is None:
             return
-        while len(queue) and self._has_room(runner_id):
+        while len(queue) and self._has_capacity(runner_id):
             now_ms = self._timers.now_ms()
-            ask = queue.pop_next(now_ms=now_ms)
-            if ask is None:
+            queued = queue.pop_next(now_ms=now_ms)
+            if queued is None:
                 break
-            self._note_pace(runner_id, now_ms)
-            self.renew(runner_id, ask.holder)
-            self._answer_waiting(ask.holder, granted=True)
+            self._record_cold_grant(runner_id, now_ms)
+            self.renew(runner_id, queued.holder)
+            self._resolve(queued.holder, granted=True)
         if not len(queue):
             del self._queues[runner_id]
 
-    def _has_room(self, runner_id: str) -> bool:
-        if not self._bears_call(runner_id, self._timers.now_ms()):
+    def _has_capacity(self, runner_id: str) -> bool:
+        if not self._can_accept_call(runner_id, self._timers.now_ms()):
             return False
-        return self._ledger.in_use(runner_id) < self._bound(runner_id)
+        return self._ledger.in_use(runner_id) < self._compute_bound(runner_id)
 
-    def _answer_waiting(self, hold: SlotHolder, *, granted: bool) -> None:
-        answer = self._answers.pop(hold, None)
-        if answer is not None:
-            answer(granted)
+    def _resolve(self, holder: SlotHolder, *, granted: bool) -> None:
+        callback = self._callbacks.pop(holder, None)
+        if callback is not None:
+            callback(granted)
 
-    def _bound(
+    def _compute_bound(
         self, runner_id: str, seen_mean: float = 0.0, load_factor: float = 0.0
     ) -> int:
         entry = self._table.get(runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
-            # The asker may have been frozen and not know; two views must both err.
+            # The requester may have been suspended and hold an outdated view. With this
+            # check a call is misrouted only if both views are outdated.
             return 0
         if self._table.is_evacuated(entry.runner):
-            # The same: the asker may not have heard of the order.
+            # Likewise, the requester may not know of the evacuation order yet.
             return 0
         load_bound = self._load_bound
         if load_factor > 0.0:
-            # The last ask of a search is for any room, also for a call that gives way.
-            least = load_bound.factor if seen_mean > 0.0 else 0.0
-            load_bound = load_bound._replace(factor=max(least, load_factor))
+            # The last request of a search may use any capacity up to the default
+            # factor, even for a call with a lower load factor.
+            min_factor = load_bound.factor if seen_mean > 0.0 else 0.0
+            load_bound = load_bound._replace(factor=max(min_factor, load_factor))
         return compute_home_bound(
             estimated_mean=self._mean_load.mean(entry.runner.pool),
             seen_mean=seen_mean,
@@ -282,44 +298,44 @@
             load_bound=load_bound,
         )
 
-    def _forget_moved(self, kept: set[str]) -> None:
+    def _remove_rehomed(self, homed_ids: set[str]) -> None:
         for runner_id in self._ledger.runner_ids():
-            if runner_id not in kept:
-                self._forget(runner_id)
+            if runner_id not in homed_ids:
+                self._remove_runner(runner_id)
 
-    def _forget_reborn(self, lifetimes: dict[str, str]) -> None:
-        """Drop counts and faults of runners that have started anew under their ids.
+    def _remove_restarted(self, lifetimes: dict[str, str]) -> None:
+        """Drop counts and faults of runners that restarted under the same ID.
 
-        What ran in the lifetime before runs no more; counted on, it would keep the
-        empty runner at its bound until the leases lapse.
+        Requests of the previous lifetime no longer run. If they stayed counted, the
+        idle runner would remain at its bound until their leases expire.
         """
         for runner_id, lifetime in lifetimes.items():
             if self._lifetimes.get(runner_id, lifetime) != lifetime:
-                self._forget(runner_id)
+                self._remove_runner(runner_id)
         self._lifetimes = lifetimes
 
-    def _report_runner(self, runner_id: str) -> None:
+    def _update_pool_load(self, runner_id: str) -> None:
         entry = self._table.get(runner_id)
         if entry is not None:
-            self._report_load(entry.runner.pool)
+            self._set_load(entry.runner.pool)
 
-    def _report_load(self, pool: str) -> None:
-        runner_ids = self._homed.get(pool, [])
+    def _set_load(self, pool: str) -> None:
+        runner_ids = self._homed_runners.get(pool, [])
         load = sum(self._ledger.in_use(runner_id) for runner_id in runner_ids)
         self._mean_load.set_local(pool, load=load, runners=len(runner_ids))
 
     def _receive_ask(self, received: PeerMessage) -> None:
         ask: SlotAsk = received.message
-        runner_id = self._names.get(ask.runner)
+        runner_id = self._runner_ids_by_hash.get(ask.runner)
         if runner_id is None:
             self._socket.send(received.peer, SlotReply(ask.ask_id, False, 0))
             return
-        hold = SlotHolder(str(received.peer), ask.ask_id)
+        holder = SlotHolder(str(received.peer), ask.ask_id)
         if ask.wait_ms:
-            self._queue_remote(received.peer, runner_id, hold, ask)
+            self._enqueue_remote(received.peer, runner_id, holder, ask)
             return
-        result = self.ask(
-            runner_id, hold, seen_mean=ask.seen_mean, load_factor=ask.load_factor
+        result = self.acquire(
+            runner_id, holder, seen_mean=ask.seen_mean, load_factor=ask.load_factor
         )
         if is_successful(result):
             reply = SlotReply(ask.ask_id, True, result.unwrap().in_use)
@@ -328,25 +344,25 @@
             reply = SlotReply(ask.ask_id, False, refusal.in_use, refusal.is_held)
         self._socket.send(received.peer, reply)
 
-    def _queue_remote(
-        self, peer: PeerAddress, runner_id: str, hold: SlotHolder, ask: SlotAsk
+    def _enqueue_remote(
+        self, peer: PeerAddress, runner_id: str, holder: SlotHolder, ask: SlotAsk
     ) -> None:
-        def answer(granted: bool) -> None:
+        def send_reply(granted: bool) -> None:
             in_use = self._ledger.in_use(runner_id)
             self._socket.send(peer, SlotReply(ask.ask_id, granted, in_use))
 
-        self.wait(
+        self.enqueue(
             runner_id,
-            hold,
+            holder,
             team=ask.team,
             priority=ask.priority,
             wait_ms=ask.wait_ms,
-            on_answer=answer,
+            on_result=send_reply,
         )
 
     def _receive_release(self, received: PeerMessage) -> None:
         release: SlotRelease = received.message
-        runner_id = self._names.get(release.runner)
+        runner_id = self._runner_ids_by_hash.get(release.runner)
         if runner_id is None:
             return
         if release.is_answered:
@@ -355,7 +371,7 @@
 
     def _receive_fault(self, received: PeerMessage) -> None:
         fault: RunnerFault = received.message
-        runner_id = self._names.get(fault.runner)
+        runner_id = self._runner_ids_by_hash.get(fault.runner)
         if runner_id is None:
             return
         if fault.is_unreachable:
@@ -365,7 +381,7 @@
 
     def _receive_renewal(self, received: PeerMessage) -> None:
         renewal: SlotRenewal = received.message
-        runner_id = self._names.get(renewal.runner)
+        runner_id = self._runner_ids_by_hash.get(renewal.runner)
         if runner_id is None:
             return
         for ask_id in renewal.ask_ids:
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_lease.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_lease.py
@@ -1,4 +1,4 @@
-"""A slot that a request holds on a runner."""
+"""The lease of a slot that a request holds on a runner."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
     from clementineyoke_core.runner import Runner
 
 
-class PassedOver(NamedTuple):
-    """A runner that was held back, and why."""
+class SkippedRunner(NamedTuple):
+    """A runner that was skipped in the search, and the reason."""
 
     runner_id: str
-    why: str
+    reason: str
 
 
 class SlotLease(NamedTuple):
-    """The runner, and why it was chosen."""
+    """A held slot, and the reason why its runner was chosen."""
 
     runner: Runner
     ask_id: int
     reason: str
     rank: int
-    """How many runners stood before it in the chat's order."""
-    passed_over: tuple[PassedOver, ...] = ()
-    """Runners that stood before it and were held back, whatever their load."""
+    """Number of runners that precede it in the chat's order."""
+    passed_over: tuple[SkippedRunner, ...] = ()
+    """Preceding runners that were skipped for a reason other than their load."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_request.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_request.py
@@ -1,4 +1,4 @@
-"""What a request wants of the slot broker."""
+"""Parameters of a search for a slot."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class SlotRequest(NamedTuple):
-    """A pool, a key to order its runners by, and how long to wait for one."""
+    """A request for a slot on one of a pool's runners, ordered by a key."""
 
     pool: str
     key: int
     team: int
-    """Hash of the team's path; teams take turns in a queue."""
+    """Hash of the team's path; queues are served round-robin over teams."""
     priority: int
     wait_ms: int
     tried: Collection[str] = ()
-    """Runners that this request must not meet again."""
+    """IDs of runners that must not be tried again."""
     load_factor: float = 0.0
-    """Multiple of the mean load up to which the call may go; 0 for the home's own."""
+    """Maximum multiple of the mean load for this call; 0 for the home's default."""
     preferred: str | None = None
-    """The runner that a placement token names."""
+    """ID of the runner that the placement token names."""
--- a/packages/clementineyoke-node/tests/slots/slot_broker.feature
+++ b/packages/clementineyoke-node/tests/slots/slot_broker.feature
@@ -1,15 +1,14 @@
-Feature: Asking for a slot
+Feature: Acquiring a slot
 
-  Scenario: A caller goes away while its slot is asked for
-    # Symptom: slots of runners stay taken for 15 s after a burst of cancelled requests.
-    # Sequence: the ask is on its way, the caller goes, the home grants to nobody.
-    # Cause: only a time-out gave the slot back, not the end of the asking itself.
+  Scenario: A caller disconnects while its slot is being requested
+    # Only a time-out released a slot granted after the caller had gone, so runner slots
+    # stayed occupied for 15 s after a burst of cancelled requests.
     Given a broker whose runner's home is another node
-    When the caller goes away while the home is asked
-    Then the slot that may have been granted is given back
+    When the caller disconnects while the home is being asked
+    Then the slot that may have been granted is released
 
-  Scenario: The home does not answer
+  Scenario: The home does not reply
     Given a broker whose runner's home is another node
-    When the home leaves the ask unanswered
-    Then the slot that may have been granted is given back
-    And the request falls back on the runner without its home
+    When the home does not reply to the request
+    Then the slot that may have been granted is released
+    And the request falls back to the runner without a grant from its home
--- a/packages/clementineyoke-node/tests/slots/slot_home.feature
+++ b/packages/clementineyoke-node/tests/slots/slot_home.feature
@@ -1,60 +1,54 @@
 Feature: The home of a runner
 
-  Scenario: An asker has not heard that a runner leaves
-    # Symptom: new work on a leaving runner, seconds after it was listed as leaving.
-    # Sequence: a node is frozen while the runner leaves; it wakes and asks for a slot.
-    # Cause: the home counted slots and did not look at what it knows of the runner.
-    Given a home whose list shows a runner leaving
-    When another node asks for a slot on it
-    Then the ask is refused
-
-  Scenario: A node restarts while its old grants stand
-    # Symptom: a runner holds more than its home has counted.
-    # Sequence: a node that asked 13 times a second dies and is started again after
-    #   1,000 seconds; its new asks bear numbers that its old ones had.
-    # Cause: numbers began at the start's second and ran ahead of the clock.
-    Given a home with 4 slots free and a node that has asked 13000 times
-    When the node starts again after 1000 seconds and asks 4 times
+  Scenario: A requester does not know that a runner is leaving
+    # A node suspended while a runner leaves asks for a slot on it seconds later; a home
+    # that only counts slots would send new work to the leaving runner.
+    Given a home whose host list shows a runner as leaving
+    When another node requests a slot on it
+    Then the request is refused
+
+  Scenario: A node restarts while its old grants are active
+    # Ask IDs that started at the start time in seconds ran ahead of the clock at 13
+    # requests a second, so a node restarted after 1,000 seconds reused IDs of active
+    # grants, and the runner held more requests than its home had counted.
+    Given a home with 4 slots free and a node that has made 13000 requests
+    When the node restarts after 1000 seconds and makes 4 requests
     Then the last grants of the old process and the 4 new ones are all counted
 
-  Scenario: A waiting ask is served when a slot comes free
+  Scenario: A queued request is granted when a slot becomes free
     Given a home whose runner has its 1 slot in use
-    When another node waits for a slot on it
-    Then it is granted once the slot is released, and only then
+    When another node queues for a slot on it
+    Then it is granted once the slot is released, and not before
 
-  Scenario: An asker that gives up is not served
+  Scenario: A cancelled request is not granted
     Given a home whose runner has its 1 slot in use
-    When another node waits for a slot on it and gives up
+    When another node queues for a slot on it and cancels
     Then the released slot stays free
 
   Scenario: Nodes report failures of a runner
-    # Symptom: a grey runner goes on getting its chats.
-    # Sequence: three nodes each meet one failure there.
-    # Cause: no one place heard of all of them.
+    # Three nodes see one failure each; unless all are counted in one place, the faulty
+    # runner keeps receiving chats.
     Given a home whose runner has its 1 slot free
     When 3 nodes report a failure of it
-    Then an ask for it is refused as paused
-    But the last ask of a search is granted
+    Then a request for it is refused as paused
+    But the last request of a search is granted
 
-  Scenario: Nodes cannot reach a runner
-    # Symptom: a dark runner goes on getting calls until each node has met it.
-    # Sequence: two nodes each wait in vain for a connection to it.
-    # Cause: only failures of calls that had begun were told to its home.
+  Scenario: Nodes cannot connect to a runner
+    # If only failures of started calls are reported to the home, an unreachable runner
+    # receives calls until each node has failed to connect to it.
     Given a home whose runner has its 1 slot free
-    When 2 nodes report that they cannot reach it
-    Then an ask for it is refused as paused
-
-  Scenario: A runner that took no connections is back before its entry says so
-    # Symptom: a runner ends a second after each start.
-    # Sequence: it ends and starts anew under its id while the store is away; its calls
-    #   come back to it as soon as one node reaches it.
-    # Cause: it counted as warm until its entry said otherwise.
-    Given a home whose runner has 8 slots and bears 4 calls a second while it is cold
-    When 2 nodes report that they cannot reach it
-    And 1.1 s later 6 nodes ask for it, each when the one before is answered
+    When 2 nodes report that they cannot connect to it
+    Then a request for it is refused as paused
+
+  Scenario: An unreachable runner returns before its entry reports the restart
+    # A runner that restarts under its ID while the store is unavailable was treated as
+    # warm, and the calls sent once a node could connect crashed it again within a second.
+    Given a home whose runner has 8 slots and accepts 4 calls a second while cold
+    When 2 nodes report that they cannot connect to it
+    And 1.1 s later 6 nodes request it, each after the previous one is answered
     Then 1 of them gets a slot
 
   Scenario: A runner answers between two reports
     Given a home whose runner has its 1 slot free
-    When a node reports that it cannot reach it, another is answered, and a third reports
-    Then an ask for it is granted
+    When a node reports a failed connection, another is answered, and a third reports one
+    Then a request for it is granted
--- a/packages/clementineyoke-node/tests/steps/slot_broker_steps.py
+++ b/packages/clementineyoke-node/tests/steps/slot_broker_steps.py
@@ -16,24 +16,24 @@
 from clementineyoke_node.slots.slot_request import SlotRequest
 from clementineyoke_wire.messages import SlotRelease
 
-WISH = SlotRequest("m", key=1, team=1, priority=5, wait_ms=0)
+REQUEST = SlotRequest("m", key=1, team=1, priority=5, wait_ms=0)
 
 
 class SilentSocket:
-    """Take asks and never answer."""
+    """A socket whose requests are recorded and never answered."""
 
     def __init__(self):
-        self.asks = []
+        self.requests = []
         self.sent = []
 
     def next_ask_id(self):
-        return len(self.asks) + 1
+        return len(self.requests) + 1
 
     def send(self, peer, message):
         self.sent.append(message)
 
-    async def ask(self, node, message, *, reply_type, timeout_ms):
-        self.asks.append(message)
+    async def request(self, node, message, *, reply_type, timeout_ms):
+        self.requests.append(message)
         async with asyncio.timeout(timeout_ms / 1000):
             await asyncio.Event().wait()
 
@@ -61,30 +61,30 @@
     )
 
 
-@when("the caller goes away while the home is asked")
+@when("the caller disconnects while the home is being asked")
 def cancel(context):
     async def run():
-        asking = asyncio.create_task(context.broker.acquire(WISH))
-        while not context.socket.asks:
+        acquiring = asyncio.create_task(context.broker.acquire(REQUEST))
+        while not context.socket.requests:
             await asyncio.sleep(0)
-        asking.cancel()
+        acquiring.cancel()
         with suppress(asyncio.CancelledError):
-            await asking
+            await acquiring
 
     context.run(run())
 
 
-@when("the home leaves the ask unanswered")
-def leave_unanswered(context):
-    context.lease = context.run(context.broker.acquire(WISH))
+@when("the home does not reply to the request")
+def ignore_request(context):
+    context.lease = context.run(context.broker.acquire(REQUEST))
 
 
-@then("the slot that may have been granted is given back")
-def check_given_back(context):
-    ask = context.socket.asks[0]
+@then("the slot that may have been granted is released")
+def check_released(context):
+    ask = context.socket.requests[0]
     assert SlotRelease(ask.ask_id, ask.runner) in context.socket.sent
 
 
-@then("the request falls back on the runner without its home")
+@then("the request falls back to the runner without a grant from its home")
 def check_fallback(context):
     assert (context.lease.runner, context.lease.reason) == (RUNNER, "home_silent")
--- a/packages/clementineyoke-node/tests/steps/slot_home_steps.py
+++ b/packages/clementineyoke-node/tests/steps/slot_home_steps.py
@@ -20,8 +20,8 @@
 PEER = PeerAddress("127.0.0.9", 9)
 
 
-class SteppedTimers:
-    """A clock that goes on only when it is told to."""
+class ManualTimers:
+    """A clock that only advances when ``at_ms`` is set."""
 
     def __init__(self):
         self.at_ms = 0.0
@@ -31,7 +31,7 @@
 
 
 class RecordingSocket:
-    """Take handlers and keep what is sent."""
+    """A socket that records handlers and sent messages."""
 
     def __init__(self):
         self.handlers = {}
@@ -47,9 +47,9 @@
         self.handlers[type(message)](PeerMessage(peer, 1, message))
 
 
-def make_home(context, *, live=(), leaving=(), cold=None):
+def make_home(context, *, live=(), leaving=(), cold_runners=None):
     context.socket = RecordingSocket()
-    context.timers = SteppedTimers()
+    context.timers = ManualTimers()
     table = RunnerTable()
     table.apply_host_list(live=live, leaving=leaving, now_ms=0)
     homes = RunnerHomes()
@@ -62,17 +62,17 @@
         mean_load=MeanLoadEstimator(),
         socket=context.socket,
         timers=context.timers,
-        cold_runners=cold,
+        cold_runners=cold_runners,
     )
     context.home.rebuild()
 
 
-def ask(context, ask_id, wait_ms=0):
+def request_slot(context, ask_id, wait_ms=0):
     runner = hash_text("engine-1")
     context.socket.receive(SlotAsk(ask_id, runner, 0.0, wait_ms=wait_ms))
 
 
-@given("a home whose list shows a runner leaving")
+@given("a home whose host list shows a runner as leaving")
 def given_leaving(context):
     make_home(context, leaving=[RUNNER])
 
@@ -80,8 +80,8 @@
 @given("a home whose runner has its 1 slot in use")
 def given_full(context):
     make_home(context, live=[RUNNER])
-    context.hold = SlotHolder("node-1", 1)
-    context.home.ask("engine-1", context.hold, seen_mean=0.0).unwrap()
+    context.holder = SlotHolder("node-1", 1)
+    context.home.acquire("engine-1", context.holder, seen_mean=0.0).unwrap()
 
 
 def make_socket(incarnation, seed):
@@ -90,44 +90,45 @@
     )
 
 
-@given("a home with 4 slots free and a node that has asked {count:d} times")
-def given_asked(context, count):
+@given("a home with 4 slots free and a node that has made {count:d} requests")
+def given_earlier_requests(context, count):
     context.old = make_socket(incarnation=1_000_000, seed=1)
-    context.old_ids = [context.old.next_ask_id() for _ in range(count)]
+    context.old_ask_ids = [context.old.next_ask_id() for _ in range(count)]
 
 
-@when("the node starts again after {pause_s:d} seconds and asks {count:d} times")
+@when("the node restarts after {pause_s:d} seconds and makes {count:d} requests")
 def restart(context, pause_s, count):
     new = make_socket(incarnation=1_000_000 + pause_s, seed=2)
-    context.new_ids = [new.next_ask_id() for _ in range(count)]
+    context.new_ask_ids = [new.next_ask_id() for _ in range(count)]
 
 
 @then("the last grants of the old process and the 4 new ones are all counted")
 def check_counted(context):
     ledger = SlotLedger()
-    holds = [SlotHolder("peer", n) for n in context.old_ids + context.new_ids]
-    for hold in holds:
-        ledger.acquire("engine-1", hold, bound=10**6, now_ms=0).unwrap()
-    assert ledger.in_use("engine-1") == len(holds)
+    holders = [SlotHolder("peer", n) for n in context.old_ask_ids + context.new_ask_ids]
+    for holder in holders:
+        ledger.acquire("engine-1", holder, bound=10**6, now_ms=0).unwrap()
+    assert ledger.in_use("engine-1") == len(holders)
 
 
 @given(
-    "a home whose runner has {slots:d} slots and bears {calls:d} calls a second "
-    "while it is cold"
+    "a home whose runner has {slots:d} slots and accepts {calls:d} calls a second "
+    "while cold"
 )
 def given_cold_limit(context, slots, calls):
-    cold = ColdRunners()
-    cold.set_limits({"m": ColdRunnerLimit(calls, 3_000)})
-    make_home(context, live=[RUNNER._replace(slots=slots)], cold=cold)
+    cold_runners = ColdRunners()
+    cold_runners.set_limits({"m": ColdRunnerLimit(calls, 3_000)})
+    make_home(context, live=[RUNNER._replace(slots=slots)], cold_runners=cold_runners)
 
 
 @when(
-    "{pause:g} s later {count:d} nodes ask for it, each when the one before is answered"
+    "{pause:g} s later {count:d} nodes request it, "
+    "each after the previous one is answered"
 )
-def ask_later(context, pause, count):
+def request_later(context, pause, count):
     context.timers.at_ms += pause * 1_000
     for ask_id in range(count):
-        ask(context, ask_id)
+        request_slot(context, ask_id)
         release = SlotRelease(ask_id, hash_text("engine-1"), is_answered=True)
         context.socket.receive(release)
 
@@ -137,38 +138,38 @@
     assert [reply.granted for reply in context.socket.sent].count(True) == count
 
 
-@when("another node asks for a slot on it")
-def ask_slot(context):
-    ask(context, 7)
+@when("another node requests a slot on it")
+def when_requested(context):
+    request_slot(context, 7)
 
 
-@when("another node waits for a slot on it")
-def wait_slot(context):
-    ask(context, 7, wait_ms=5_000)
+@when("another node queues for a slot on it")
+def when_queued(context):
+    request_slot(context, 7, wait_ms=5_000)
 
 
-@when("another node waits for a slot on it and gives up")
-def wait_and_give_up(context):
-    wait_slot(context)
+@when("another node queues for a slot on it and cancels")
+def queue_and_cancel(context):
+    when_queued(context)
     context.socket.receive(SlotRelease(7, hash_text("engine-1")))
 
 
-@then("the ask is refused")
+@then("the request is refused")
 def check_refused(context):
     assert [reply.granted for reply in context.socket.sent] == [False]
 
 
-@then("it is granted once the slot is released, and only then")
+@then("it is granted once the slot is released, and not before")
 def check_granted(context):
     assert context.socket.sent == []
-    context.home.release("engine-1", context.hold)
+    context.home.release("engine-1", context.holder)
     assert [(r.ask_id, r.granted) for r in context.socket.sent] == [(7, True)]
     assert context.home.loads() == {"engine-1": 1}
 
 
 @then("the released slot stays free")
 def check_free(context):
-    context.home.release("engine-1", context.hold)
+    context.home.release("engine-1", context.holder)
     assert context.socket.sent == []
     assert context.home.loads() == {"engine-1": 0}
 
@@ -184,14 +185,14 @@
         context.socket.receive(RunnerFault(hash_text("engine-1")))
 
 
-@then("an ask for it is refused as paused")
+@then("a request for it is refused as paused")
 def check_paused(context):
-    ask(context, 1)
+    request_slot(context, 1)
     assert context.socket.sent[-1] == SlotReply(1, False, 0, is_held=True)
 
 
-@then("the last ask of a search is granted")
-def check_last_ask(context):
+@then("the last request of a search is granted")
+def check_last_request(context):
     context.socket.receive(SlotAsk(2, hash_text("engine-1"), 0.01))
     assert context.socket.sent[-1].granted
 
@@ -201,24 +202,24 @@
     context.socket.receive(fault, peer=PEER._replace(port=number))
 
 
-@when("{count:d} nodes report that they cannot reach it")
+@when("{count:d} nodes report that they cannot connect to it")
 def report_several(context, count):
     for number in range(count):
         report_unreachable(context, number)
 
 
 @when(
-    "a node reports that it cannot reach it, another is answered, and a third reports"
+    "a node reports a failed connection, another is answered, and a third reports one"
 )
 def report_around_answer(context):
     report_unreachable(context, 1)
-    ask(context, 5)
+    request_slot(context, 5)
     release = SlotRelease(5, hash_text("engine-1"), is_answered=True)
     context.socket.receive(release)
     report_unreachable(context, 3)
 
 
-@then("an ask for it is granted")
-def check_granted(context):
-    ask(context, 6)
+@then("a request for it is granted")
+def check_immediate_grant(context):
+    request_slot(context, 6)
     assert context.socket.sent[-1].granted
