--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Run-once claims: the holder's and the home's side."""
+"""Claims that make a keyed request run at most once: client and home side."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
@@ -14,7 +14,7 @@
     head_name,
     segment_name,
 )
-from clementineyoke_node.objects.object_api import NO_OBJECT
+from clementineyoke_node.objects.object_api import VERSION_ABSENT
 from clementineyoke_node.objects.platform_error import PlatformError
 
 if TYPE_CHECKING:
@@ -23,21 +23,23 @@
 
 
 class ChainStore:
-    """Know where a shard's objects lie."""
+    """Reads the objects of one claim shard."""
 
     def __init__(self, *, shard: str, objects: ObjectApi) -> None:
         self._shard = shard
         self._objects = objects
 
     async def read(self) -> ChainRead:
-        """Return head and segments; raises ``PlatformError`` or ``DecodeError``.
+        """Return the head and its segments.
 
-        The reads are not one moment's. Sealed segments never change, and a write
-        against an open segment or a head that has moved on is refused.
+        The reads are not atomic. This is safe because sealed segments never change, and
+        a write based on an outdated open segment or head is refused.
+
+        Raises ``PlatformError`` or ``msgspec.DecodeError``.
         """
         stored = await self._objects.read(head_name(self._shard))
         head = INITIAL_HEAD if stored is None else decode_head(stored.body)
-        version = NO_OBJECT if stored is None else stored.version
+        version = VERSION_ABSENT if stored is None else stored.version
         numbers = range(head.first, head.open + 1)
         segments = await asyncio.gather(
             *(self._read_segment(head, number) for number in numbers)
@@ -48,11 +50,15 @@
         name = segment_name(self._shard, number)
         stored = await self._objects.read(name)
         if stored is None:
-            return StoredSegment(NO_OBJECT, None)
+            return StoredSegment(VERSION_ABSENT, None)
         segment = decode_segment(stored.body)
         if segment.number == number:
             return StoredSegment(stored.version, segment)
         if number != head.open or segment.number > number:
-            # The ring has gone round since the head was read.
-            raise PlatformError(step="read", peer=name, reason="the head has moved on")
+            # The ring slot was reused after the head was read.
+            raise PlatformError(
+                step="read",
+                peer=name,
+                reason="ring slot reused while reading the shard",
+            )
         return StoredSegment(stored.version, None)
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_client.py
@@ -1,4 +1,4 @@
-"""The holder's side of run-once claims."""
+"""Client side of claims: acquire a key and report what became of the request."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
-KEY_BYTES = 12
-"""96 bits: two of a million live keys meet with a chance of 1 in 10**17."""
-DIGEST_BYTES = 6
-LARGEST_SENT_ANSWER_BYTES = 1_024
-"""An answer must fit a datagram with room for its key."""
+KEY_DIGEST_BYTES = 12
+"""With 96 bits, the chance of a collision among a million live keys is 1 in 10**17."""
+REQUEST_DIGEST_BYTES = 6
+MAX_SENT_ANSWER_BYTES = 1_024
+"""The answer and its key must fit in one datagram."""
 
 
 class Claim(NamedTuple):
-    """A key that this request tries to take."""
+    """The key that a request tries to acquire, and the holder that identifies it."""
 
     shard: int
     key: str
@@ -41,7 +41,7 @@
 
 
 class ClaimClient:
-    """Ask the shard's home, and tell it what became of the request."""
+    """Acquires claims from the shard's home and reports their results to it."""
 
     def __init__(
         self,
@@ -63,28 +63,31 @@
         self._timeout_ms = timeout_ms
 
     def make_claim(self, *, scope: str, key: str, request: bytes) -> Claim:
-        """Return a claim under a fresh holder; equal scope and key meet again."""
+        """Return a claim with a new holder.
+
+        Equal scope and key always map to the same claim key and shard.
+        """
         text = f"{scope}\0{key}"
-        digest = blake2b(text.encode(), digest_size=KEY_BYTES).hexdigest()
-        own = self._membership.local_node
-        started = self._membership.initial_incarnation
-        holder = f"{own.node_id}.{started:x}.{self._socket.next_ask_id():x}"
-        request_digest = blake2b(request, digest_size=DIGEST_BYTES).hexdigest()
+        digest = blake2b(text.encode(), digest_size=KEY_DIGEST_BYTES).hexdigest()
+        node = self._membership.local_node
+        incarnation = self._membership.initial_incarnation
+        holder = f"{node.node_id}.{incarnation:x}.{self._socket.next_ask_id():x}"
+        request_digest = blake2b(request, digest_size=REQUEST_DIGEST_BYTES).hexdigest()
         return Claim(hash_text(text) % self._shards, digest, holder, request_digest)
 
     async def acquire(self, claim: Claim) -> ClaimDecision:
-        """Return the home's verdict, or UNAVAILABLE when none came in time.
+        """Return the home's decision, or UNAVAILABLE if none arrives in time.
 
-        After UNAVAILABLE this holder never runs the request, so "not run" is true even
-        if the claim has become durable; the home is told to give the key free.
+        After UNAVAILABLE the request must not be run, so reporting it as "not run" is
+        correct even if the claim was stored; the home is asked to release the key.
         """
         home = self._home_of(claim)
         if home is None:
             return ClaimDecision(ClaimVerdict.UNAVAILABLE)
         try:
             if home.node_id == self._membership.local_node.node_id:
-                return await self._take_here(claim)
-            return await self._take_at(home, claim)
+                return await self._acquire_locally(claim)
+            return await self._acquire_remotely(home, claim)
         except TimeoutError:
             self.report(claim, ran=False)
             return ClaimDecision(ClaimVerdict.UNAVAILABLE)
@@ -92,7 +95,7 @@
     def report(
         self, claim: Claim, *, ran: bool, answer: StoredAnswer | None = None
     ) -> None:
-        """Tell the home what became of the request; may be lost, which is safe."""
+        """Report the request's result to the home; losing the report is safe."""
         home = self._home_of(claim)
         if home is None:
             return
@@ -102,20 +105,20 @@
             return
         self._socket.send(PeerAddress.of(home), _to_result(claim, ran, answer))
 
-    async def _take_here(self, claim: Claim) -> ClaimDecision:
+    async def _acquire_locally(self, claim: Claim) -> ClaimDecision:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[ClaimDecision] = loop.create_future()
 
-        def answer(decision: ClaimDecision) -> None:
+        def resolve(decision: ClaimDecision) -> None:
             if not future.done():
                 future.set_result(decision)
 
-        gives_up_ms = self._timers.now_ms() + self._timeout_ms
-        ask = ClaimAttempt(claim.key, claim.holder, claim.request_digest)
-        self._home.ask(claim.shard, PendingClaim(ask, gives_up_ms, answer))
+        deadline_ms = self._timers.now_ms() + self._timeout_ms
+        attempt = ClaimAttempt(claim.key, claim.holder, claim.request_digest)
+        self._home.submit(claim.shard, PendingClaim(attempt, deadline_ms, resolve))
         return await asyncio.wait_for(future, self._timeout_ms / MS_PER_S)
 
-    async def _take_at(self, home: Node, claim: Claim) -> ClaimDecision:
+    async def _acquire_remotely(self, home: Node, claim: Claim) -> ClaimDecision:
         ask_id = self._socket.next_ask_id()
         request = ClaimRequest(
             ask_id, claim.shard, claim.key, claim.holder, claim.request_digest
@@ -134,7 +137,7 @@
 
 
 def _to_result(claim: Claim, ran: bool, answer: StoredAnswer | None) -> ClaimResult:
-    if answer is None or len(answer.body) > LARGEST_SENT_ANSWER_BYTES:
+    if answer is None or len(answer.body) > MAX_SENT_ANSWER_BYTES:
         return ClaimResult(claim.shard, claim.key, claim.holder, ran)
     return ClaimResult(
         claim.shard,
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/claim_home.py
@@ -1,4 +1,4 @@
-"""The claim shards that this node serves when asked."""
+"""Home side of claims: serves requests for claim shards."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 def shard_name(shard: int) -> str:
-    """Return the name of a shard's object, which also places its home."""
+    """Return a shard's object name, from which its home node is also derived."""
     return f"claims/{shard:05d}"
 
 
 class ClaimHome:
-    """Own the shard tasks. It serves any shard it is asked for.
+    """Owns the shard tasks and serves requests for any shard.
 
-    Whether this node really is the shard's home does not matter for safety: the
-    object's version decides between two that both believe it.
+    Safety does not depend on this node being the shard's home: if two nodes believe
+    they are, the version check of the platform's objects decides between them.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         self._socket = socket
         self._shards = shards
         self._batch_ms = batch_ms
-        self._patience_ms = timeout_ms
+        self._timeout_ms = timeout_ms
         self._tasks: dict[int, ShardTask] = {}
         self._stack = AsyncExitStack()
         socket.handle(ClaimRequest, self._receive_request)
         socket.handle(ClaimResult, self._receive_result)
 
     async def __aenter__(self) -> Self:
-        """Create every shard's task; a task costs nothing until it is asked."""
+        """Create a task per shard; idle tasks cost nothing."""
         for shard in range(self._shards):
             task = ShardTask(
                 name=shard_name(shard),
@@ -67,25 +67,25 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End the tasks."""
+        """Stop the tasks."""
         await self._stack.aclose()
 
     @property
     def writes(self) -> int:
-        """Conditional updates sent to the platform so far."""
+        """Number of conditional updates sent to the platform."""
         return sum(task.writes for task in self._tasks.values())
 
     @property
     def is_idle(self) -> bool:
-        """Whether every report that was taken is durable."""
+        """Whether no claim is pending and all accepted reports are stored."""
         return all(task.is_idle for task in self._tasks.values())
 
-    def ask(self, shard: int, pending: PendingClaim) -> None:
-        """Take an ask for a shard."""
+    def submit(self, shard: int, pending: PendingClaim) -> None:
+        """Submit a claim to a shard's task."""
         self._tasks[shard].submit(pending)
 
     def report(self, shard: int, report: ClaimReport) -> None:
-        """Take a report for a shard."""
+        """Pass a report to a shard's task."""
         self._tasks[shard].report(report)
 
     def _receive_request(self, received: PeerMessage) -> None:
@@ -94,15 +94,15 @@
             return
         peer = received.peer
 
-        def answer(decision: ClaimDecision) -> None:
+        def send_reply(decision: ClaimDecision) -> None:
             self._reply(peer, request.ask_id, decision)
 
         pending = PendingClaim(
             ClaimAttempt(request.key, request.holder, request.request_digest),
-            self._timers.now_ms() + self._patience_ms,
-            answer,
+            self._timers.now_ms() + self._timeout_ms,
+            send_reply,
         )
-        self.ask(request.shard, pending)
+        self.submit(request.shard, pending)
 
     def _receive_result(self, received: PeerMessage) -> None:
         result: ClaimResult = received.message
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
@@ -1,4 +1,4 @@
-"""One shard's home: batch asks and reports into conditional updates."""
+"""Task of one claim shard: batches claims and reports into conditional updates."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
-MOST_QUEUED_REPORTS = 10_000
-RETRY_PAUSE_MS = 200.0
-WRITE_INTERVAL_MS = 100.0
-"""Shortest time between two writes of a shard."""
-REPORT_PATIENCE_MS = 1_000.0
-"""How long a report waits for an ask's write to go along with."""
+MAX_QUEUED_REPORTS = 10_000
+RETRY_DELAY_MS = 200.0
+MIN_WRITE_INTERVAL_MS = 100.0
+"""Minimum interval between two writes of a shard."""
+MAX_REPORT_DELAY_MS = 1_000.0
+"""Maximum time that a report waits to be written together with a claim."""
 
 
 class PendingClaim(NamedTuple):
-    """An ask that waits for a verdict, and until when its holder waits."""
+    """A claim awaiting a decision, and the time until which its holder waits."""
 
-    ask: ClaimAttempt
-    gives_up_ms: float
-    answer: Callable[[ClaimDecision], None]
+    attempt: ClaimAttempt
+    deadline_ms: float
+    on_decision: Callable[[ClaimDecision], None]
 
 
 class ShardTask:
-    """Own one shard and its object; talk through ``ask`` and ``report``."""
+    """Decides the claims of one shard and stores them on the platform."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         self._batch_ms = batch_ms
         self._chain = ClaimChain(shard=name)
         self._store = ChainStore(shard=name, objects=objects)
-        self._asks: list[PendingClaim] = []
+        self._pending: list[PendingClaim] = []
         self._reports: list[ClaimReport] = []
         self._wake = asyncio.Event()
         self._tasks = BackgroundTasks()
-        self._written_ms = 0.0
+        self._last_write_ms = 0.0
         self._first_report_ms = 0.0
         self.writes = 0
-        """Conditional updates sent to the platform."""
+        """Number of conditional updates sent to the platform."""
 
     async def __aenter__(self) -> Self:
         """Start the task."""
@@ -73,33 +73,35 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End the task; asks still pending get no answer, so nothing runs."""
+        """Stop the task; requests whose claims are still pending do not run."""
         await self._tasks.__aexit__(*exc_info)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits to become durable."""
-        return not self._asks and not self._reports
+        """Whether no claim or report is waiting to be stored."""
+        return not self._pending and not self._reports
 
     def submit(self, pending: PendingClaim) -> None:
-        """Take an ask; its answer comes by the callback, or never."""
-        self._asks.append(pending)
+        """Add a claim; its callback is called at most once with the decision."""
+        self._pending.append(pending)
         self._wake.set()
 
     def report(self, report: ClaimReport) -> None:
-        """Take a report; the oldest is dropped when too many wait.
+        """Add a report; the oldest one is dropped when the queue is full.
 
-        A dropped report leaves its key at ``unknown`` until it expires, which is safe.
+        The key of a dropped report stays ``unknown`` until it expires, which is safe.
         """
-        # An ask whose holder has given up must not become durable after this.
-        self._asks = [
-            pending for pending in self._asks if pending.ask.holder != report.holder
+        # A claim must not be stored after its holder has reported.
+        self._pending = [
+            pending
+            for pending in self._pending
+            if pending.attempt.holder != report.holder
         ]
         self._chain.apply_report(report)
         if not self._reports:
             self._first_report_ms = self._timers.now_ms()
         self._reports.append(report)
-        del self._reports[:-MOST_QUEUED_REPORTS]
+        del self._reports[:-MAX_QUEUED_REPORTS]
         self._wake.set()
 
     async def _run(self) -> None:
@@ -107,42 +109,48 @@
             await self._wake.wait()
             await asyncio.sleep(self._batch_ms / MS_PER_S)
             self._wake.clear()
-            pause_ms = await self._settle()
-            if pause_ms > 0.0:
+            delay_ms = await self._process_pending()
+            if delay_ms > 0.0:
                 loop = asyncio.get_running_loop()
-                loop.call_later(pause_ms / MS_PER_S, self._wake.set)
+                loop.call_later(delay_ms / MS_PER_S, self._wake.set)
 
-    async def _settle(self) -> float:
-        """Answer and write what is due; return after how long to look again, or 0."""
-        self._drop_late_asks()
+    async def _process_pending(self) -> float:
+        """Resolve claims and write what is due.
+
+        Returns the delay in ms after which to run again, or 0 if nothing is waiting.
+        """
+        self._drop_expired()
         if self.is_idle:
             return 0.0
         try:
             await self._load()
-            self._answer_decided()
+            self._resolve_decided()
             if self.is_idle:
                 return 0.0
             wait_ms = self._write_due_ms() - self._timers.now_ms()
             if wait_ms > 0.0:
                 return wait_ms
-            return 0.0 if await self._write() else RETRY_PAUSE_MS
+            return 0.0 if await self._write() else RETRY_DELAY_MS
         except (PlatformError, msgspec.DecodeError) as error:
             log_event(Event.PLATFORM_AWAY, step=self._name, reason=str(error))
             self._chain.mark_stale()
-            return RETRY_PAUSE_MS
+            return RETRY_DELAY_MS
 
     def _write_due_ms(self) -> float:
-        # The platform takes some hundred writes a second from the whole fleet. Unpaced,
-        # 1,000 posts a second cost 912 of them, since each grant's report wrote alone.
-        next_write_ms = self._written_ms + WRITE_INTERVAL_MS
-        if self._asks:
+        # The platform accepts some hundred writes a second from the whole fleet. Without
+        # pacing, 1,000 posts a second cause 912 writes, since the report of each grant
+        # is written separately.
+        next_write_ms = self._last_write_ms + MIN_WRITE_INTERVAL_MS
+        if self._pending:
             return next_write_ms
-        return max(next_write_ms, self._first_report_ms + REPORT_PATIENCE_MS)
+        return max(next_write_ms, self._first_report_ms + MAX_REPORT_DELAY_MS)
 
-    def _drop_late_asks(self) -> None:
-        # The holder told its caller "not run" by now; a grant would be for nobody.
+    def _drop_expired(self) -> None:
+        # The holder has answered its caller "not run", so a grant would go unused.
         now_ms = self._timers.now_ms()
-        self._asks = [ask for ask in self._asks if ask.gives_up_ms > now_ms]
+        self._pending = [
+            pending for pending in self._pending if pending.deadline_ms > now_ms
+        ]
 
     async def _load(self) -> None:
         if self._chain.is_loaded:
@@ -151,22 +159,22 @@
         for report in self._reports:
             self._chain.apply_report(report)
 
-    def _answer_decided(self) -> None:
+    def _resolve_decided(self) -> None:
         undecided = []
-        for pending in self._asks:
-            decision = self._chain.decide(pending.ask)
+        for pending in self._pending:
+            decision = self._chain.decide(pending.attempt)
             if decision is None:
                 undecided.append(pending)
             else:
-                pending.answer(decision)
-        self._asks = undecided
+                pending.on_decision(decision)
+        self._pending = undecided
 
     async def _write(self) -> bool:
-        asks = list(self._asks)
+        claims = list(self._pending)
         reports = list(self._reports)
-        self._written_ms = self._timers.now_ms()
+        self._last_write_ms = self._timers.now_ms()
         try:
-            await self._write_until_claims(asks, reports)
+            await self._write_until_claims(claims, reports)
         except VersionConflictError:
             log_event(Event.CLAIMS_CONFLICT, shard=self._name)
             self._chain.mark_stale()
@@ -178,17 +186,17 @@
         del self._reports[: len(reports)]
         for report in self._reports:
             self._chain.apply_report(report)
-        log_event(Event.CLAIMS_WRITTEN, shard=self._name, claims=len(asks))
-        self._answer_decided()
+        log_event(Event.CLAIMS_WRITTEN, shard=self._name, claims=len(claims))
+        self._resolve_decided()
         return True
 
     async def _write_until_claims(
-        self, asks: list[PendingClaim], reports: list[ClaimReport]
+        self, claims: list[PendingClaim], reports: list[ClaimReport]
     ) -> None:
-        """Write what is due before the claims, then the claims."""
+        """Perform the writes that must precede the claims, then write the claims."""
         while True:
             write = self._chain.next_write(
-                [pending.ask for pending in asks],
+                [pending.attempt for pending in claims],
                 reports,
                 wall_ms=self._timers.wall_ms(),
             )
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
@@ -71,12 +71,12 @@
 
     def _apply_changes(self, changes: HostChanges) -> None:
         self._revision = changes.revision
-        if changes.is_whole:
+        if changes.is_full:
             self._hosts = {}
         self._hosts.update({host["host"]: host for host in changes.hosts})
-        for name in changes.gone:
+        for name in changes.removed:
             self._hosts.pop(name, None)
-        if changes.is_whole or changes.hosts or changes.gone:
+        if changes.is_full or changes.hosts or changes.removed:
             self._update_listeners()
             log_event(Event.HOSTS_CHANGED, revision=self._revision)
         self.ready.set()
--- a/packages/clementineyoke-node/src/clementineyoke_node/limits/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/limits/__init__.py
@@ -1,3 +1,3 @@
-"""Team limits over all nodes."""
+"""Fleet-wide team limits."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's object API and host list."""
+"""Clients of the platform's object API and host list."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/host_list.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/host_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts; it lags."""
+"""Interface of the platform's list of live and leaving hosts, which may lag."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 
 class HostChanges(NamedTuple):
-    """What changed since a revision."""
+    """Changes of the host list since a revision."""
 
     revision: int
-    is_whole: bool
-    """Whether these are all the hosts, not only the changed ones."""
+    is_full: bool
+    """Whether ``hosts`` is the complete list instead of only the changes."""
     hosts: list[HostBody]
-    gone: list[str]
+    removed: list[str]
 
 
 class HostList(Protocol):
-    """Hosts with role, address, zone and state. A call may raise PlatformError."""
+    """The hosts with role, address, zone and state.
+
+    Calls may raise ``PlatformError``.
+    """
 
     async def watch_hosts(self, *, after_revision: int) -> HostChanges:
-        """Wait for changes after a revision; 0 asks for the whole list at once."""
+        """Wait for changes after a revision; 0 returns the full list immediately."""
         ...
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/http_platform.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/http_platform.py
@@ -1,4 +1,4 @@
-"""The object API and the host list over HTTP."""
+"""HTTP client of the platform's object API and host list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HttpPlatform:
-    """Speak the platform's HTTP protocol; owns its connections."""
+    """Implements ``ObjectApi`` and ``HostList`` over HTTP."""
 
     def __init__(self, *, url: str, timeout_ms: int) -> None:
         self._url = url.rstrip("/")
@@ -40,14 +40,14 @@
             await self._session.close()
 
     async def read(self, name: str) -> StoredObject | None:
-        """Return an object, or None if there is none."""
+        """Return an object, or None if it does not exist."""
         status, document = await self._call("GET", f"/objects/{name}")
         if status == STATUS_NOT_FOUND:
             return None
-        return _to_object(document)
+        return _decode_object(document)
 
     async def write(self, name: str, body: bytes, *, expected_version: int) -> int:
-        """Write if the version is as expected; see ``ObjectApi.write``."""
+        """Write an object if its version matches; see ``ObjectApi.write``."""
         _, document = await self._call(
             "PUT",
             f"/objects/{name}",
@@ -58,14 +58,14 @@
         return version
 
     async def list_after(self, prefix: str, after: str) -> list[StoredObject]:
-        """Return a page of objects of a prefix with names after a name."""
+        """Return a page of objects; see ``ObjectApi.list_after``."""
         _, document = await self._call(
             "GET", "/objects", params={"prefix": prefix, "after": after}
         )
-        return [_to_object(entry) for entry in document["objects"]]
+        return [_decode_object(entry) for entry in document["objects"]]
 
     async def watch(self, prefix: str, *, after_revision: int) -> WatchResult:
-        """Wait until objects of a prefix change."""
+        """Wait until objects with a prefix change."""
         params = {
             "prefix": prefix,
             "after_revision": str(after_revision),
@@ -74,7 +74,7 @@
         _, document = await self._call(
             "GET", "/watch", params=params, wait_ms=WATCH_WAIT_MS
         )
-        objects = [_to_object(entry) for entry in document["objects"]]
+        objects = [_decode_object(entry) for entry in document["objects"]]
         return WatchResult(document["revision"], objects)
 
     async def watch_hosts(self, *, after_revision: int) -> HostChanges:
@@ -97,7 +97,9 @@
         self, method: str, path: str, *, wait_ms: int = 0, **options: Any
     ) -> tuple[int, Any]:
         if self._session is None:
-            raise PlatformError(step=method, peer=self._url, reason="is closed")
+            raise PlatformError(
+                step=method, peer=self._url, reason="client is not open"
+            )
         total_s = (self._timeout_ms + wait_ms) / MS_PER_S
         try:
             async with self._session.request(
@@ -117,13 +119,13 @@
         step = f"{method} {path}"
         if status == STATUS_CONFLICT:
             raise VersionConflictError(
-                step=step, peer=self._url, reason="another version"
+                step=step, peer=self._url, reason="object version does not match"
             )
         if status >= STATUS_ERROR and status != STATUS_NOT_FOUND:
             raise PlatformError(step=step, peer=self._url, reason=f"status {status}")
 
 
-def _to_object(document: Any) -> StoredObject:
+def _decode_object(document: Any) -> StoredObject:
     return StoredObject(
         document["name"], document["version"], base64.b64decode(document["body"])
     )
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/object_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/object_api.py
@@ -1,15 +1,15 @@
-"""The platform's object API as the fleet uses it."""
+"""Interface of the platform's object API."""
 
 from __future__ import annotations
 
 from typing import NamedTuple, Protocol
 
-NO_OBJECT = 0
-"""The version of an object that does not exist."""
+VERSION_ABSENT = 0
+"""Version that stands for an object that does not exist."""
 
 
 class StoredObject(NamedTuple):
-    """An object's bytes and version."""
+    """An object's name, version and content."""
 
     name: str
     version: int
@@ -17,31 +17,34 @@
 
 
 class WatchResult(NamedTuple):
-    """The objects that changed, and where to watch on from."""
+    """The changed objects, and the revision from which to continue watching."""
 
     revision: int
     objects: list[StoredObject]
 
 
 class ObjectApi(Protocol):
-    """Versions, conditional updates and watches. Every call may raise PlatformError."""
+    """Versioned objects with conditional writes and watches.
+
+    Calls may raise ``PlatformError``.
+    """
 
     async def read(self, name: str) -> StoredObject | None:
-        """Return an object, or None if there is none."""
+        """Return an object, or None if it does not exist."""
         ...
 
     async def write(self, name: str, body: bytes, *, expected_version: int) -> int:
-        """Write if the version is as expected and return the new one.
+        """Write an object if its version matches, and return the new version.
 
-        Raises ``VersionConflictError`` when it is not; any other ``PlatformError``
-        leaves open whether the write took effect.
+        Raises ``VersionConflictError`` if it does not match. After any other
+        ``PlatformError`` it is unknown whether the write took effect.
         """
         ...
 
     async def list_after(self, prefix: str, after: str) -> list[StoredObject]:
-        """Return objects of a prefix with names after a name, in order, a page."""
+        """Return a page of objects with a prefix, sorted by name, after a name."""
         ...
 
     async def watch(self, prefix: str, *, after_revision: int) -> WatchResult:
-        """Wait until objects of a prefix change; returns empty when it waited long."""
+        """Wait until objects with a prefix change; after a time-out return none."""
         ...
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/platform_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/platform_error.py
@@ -1,10 +1,10 @@
-"""Failures of calls to the platform."""
+"""Errors of calls to the platform."""
 
 from __future__ import annotations
 
 
 class PlatformError(Exception):
-    """A call failed, and for a write nothing tells whether it took effect."""
+    """A call to the platform failed; a write may have taken effect nevertheless."""
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
         super().__init__(f"{step} {peer}: {reason}")
@@ -14,4 +14,4 @@
 
 
 class VersionConflictError(PlatformError):
-    """A conditional write met another version; it did not take effect."""
+    """A conditional write was refused because the object's version did not match."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/__init__.py
@@ -1,3 +1,3 @@
-"""Exchanges with runners."""
+"""HTTP connections to runners."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/keep_alive_socket.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/keep_alive_socket.py
@@ -1,4 +1,4 @@
-"""Client sockets that notice a dead peer."""
+"""Client sockets that detect unresponsive peers."""
 
 from __future__ import annotations
 
@@ -8,26 +8,32 @@
 if TYPE_CHECKING:
     from aiohappyeyeballs import AddrInfoType
 
-SILENCE_LIMIT_MS = 2_500
-"""How long sent bytes may stay unacknowledged: longer than a lossy link needs to send
-a packet twice, shorter than what callers wait for."""
-IDLE_BEFORE_PROBE_S = 1
-PROBE_INTERVAL_S = 1
-MOST_PROBES = 2
+USER_TIMEOUT_MS = 2_500
+"""Maximum time that sent data may stay unacknowledged: enough to send a packet twice on
+a lossy link, but less than callers wait."""
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+MAX_KEEPALIVE_PROBES = 2
 
 
 def open_socket(address: AddrInfoType) -> socket.socket:
-    """Return a socket whose connection fails when its peer has gone silent.
+    """Return a socket whose connection fails when its peer stops responding.
 
-    A peer that lost power or lies behind a partition answers nothing, and a kept
-    connection to it hangs: seen as watches that report no change for minutes.
+    A peer that lost power or is behind a network partition sends nothing, so that a
+    persistent connection to it hangs and watches report no change for minutes.
     """
     family, kind, protocol, _, _ = address
-    opened = socket.socket(family, kind, protocol)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_BEFORE_PROBE_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MOST_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_LIMIT_MS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return opened
+    client_socket = socket.socket(family, kind, protocol)
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    client_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+    )
+    client_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES
+    )
+    client_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+    )
+    client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return client_socket
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_client.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges with runners: one connection use for one exchange that ended well."""
+"""HTTP client for runners; reuses connections only after complete exchanges."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RunnerCall(NamedTuple):
-    """What to send to a runner."""
+    """A request to send to a runner."""
 
     method: str
     path: str
@@ -36,11 +36,11 @@
 
 
 class RunnerClient:
-    """Own two connection pools: one that reuses connections and one that never does.
+    """Owns two connection pools: one that reuses connections and one that never does.
 
-    A reused connection may be closed by the runner just as a request goes out. Nothing
-    then tells whether the request began, which for a non-idempotent call means
-    ``unknown``; such calls therefore always get a fresh connection.
+    A runner may close a reused connection just as a request is being sent. It is then
+    unknown whether the request was started, so a non-idempotent call would end as
+    ``unknown``; such calls therefore always use a new connection.
     """
 
     def __init__(self) -> None:
@@ -48,13 +48,13 @@
         self._fresh: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Self:
-        """Open both pools."""
+        """Open both connection pools."""
         self._pooled = _make_session(force_close=False)
         self._fresh = _make_session(force_close=True)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close both pools."""
+        """Close both connection pools."""
         for session in (self._pooled, self._fresh):
             if session is not None:
                 await session.close()
@@ -63,23 +63,23 @@
     async def exchange(
         self, runner: Runner, call: RunnerCall
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a call and yield the answer's head, checked to be the call's own.
+        """Send a call and yield the response, after checking that it matches the call.
 
-        Raises ``RunnerError``; its ``may_have_run`` is False only when no byte of the
-        request can have reached the runner. A body that was not read to its end closes
-        the connection.
+        The caller reads the body; the connection is closed if the body is not read to
+        its end. Raises ``RunnerError``, whose ``may_have_run`` is False only if no byte
+        of the request can have reached the runner.
         """
         response = await self._send(runner, call)
         try:
             _check_echo(runner, call, response)
             yield response
         finally:
-            # Closes the connection unless the body was read to its end: the next
-            # exchange would otherwise read the rest of this one's answer.
+            # Closes the connection unless the body was read to its end. Otherwise the
+            # next exchange would read the rest of this response.
             response.close()
 
     async def probe(self, runner: Runner) -> bool:
-        """Ask a runner whether it can serve; False on any failure."""
+        """Return whether a runner reports that it is ready; False on any failure."""
         timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_MS / MS_PER_S)
         url = _url(runner, PROBE_PATH)
         try:
@@ -122,7 +122,7 @@
     def _session(self, *, is_idempotent: bool) -> aiohttp.ClientSession:
         session = self._pooled if is_idempotent else self._fresh
         if session is None:
-            message = "the runner client is closed"
+            message = "runner client is not open"
             raise RuntimeError(message)
         return session
 
@@ -133,9 +133,10 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
     )
-    # aiohttp sends PUT, DELETE and the like a second time when the connection breaks
-    # before an answer, on its own. The runner would be seen to execute one call twice.
-    # There is no public switch; a test brings the break about and counts executions.
+    # By default aiohttp resends idempotent methods such as PUT and DELETE when the
+    # connection breaks before a response, and the runner would execute one call twice.
+    # aiohttp has no public option for this; a test breaks connections and counts
+    # executions.
     session._retry_connection = False
     return session
 
@@ -150,7 +151,7 @@
     echoed = response.headers.get(headers.REQUEST_ID)
     if echoed == call.request_id:
         return
-    # A runner that crosses answers would hand one caller's text to another.
+    # A runner that mixes up responses would disclose one caller's text to another.
     raise RunnerError(
         step="check_echo",
         peer=runner.runner_id,
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_error.py
@@ -1,10 +1,13 @@
-"""An exchange with a runner that brought no answer."""
+"""Error raised when an exchange with a runner fails."""
 
 from __future__ import annotations
 
 
 class RunnerError(Exception):
-    """Say at which step which runner failed, and whether the request may have run."""
+    """An exchange with a runner failed.
+
+    Carries the step that failed, the runner, and whether the request may have run.
+    """
 
     def __init__(
         self, *, step: str, peer: str, reason: str, may_have_run: bool
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_prober.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_prober.py
@@ -1,4 +1,4 @@
-"""Probe the runners that are not ready, a few at a time."""
+"""Probe quarantined runners, a few at a time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     from clementineyoke_node.runners.runner_client import RunnerClient
     from clementineyoke_node.timers.timer_service import TimerService
 
-MOST_PROBES_A_ROUND = 4
-"""A zone's loss quarantines hundreds at once; probes must not become a storm."""
+MAX_PROBES_PER_ROUND = 4
+"""Limits the probe load when an outage of a zone quarantines hundreds of runners."""
 
 
 class RunnerProber:
-    """Bring quarantined runners back once they prove that they serve."""
+    """Returns quarantined runners to service once they pass a probe."""
 
     def __init__(
         self, *, table: RunnerTable, client: RunnerClient, timers: TimerService
@@ -28,7 +28,7 @@
     async def run_round(self) -> None:
         """Probe the runners that are due."""
         due = self._table.due_for_probe(now_ms=self._timers.now_ms())
-        await asyncio.gather(*map(self._probe, due[:MOST_PROBES_A_ROUND]))
+        await asyncio.gather(*map(self._probe, due[:MAX_PROBES_PER_ROUND]))
 
     async def _probe(self, runner: Runner) -> None:
         ready = await self._client.probe(runner)
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/__init__.py
@@ -1,3 +1,3 @@
-"""The settings tree in force on this node."""
+"""Replication and changes of the settings tree."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
@@ -1,4 +1,4 @@
-"""Fetch settings changes from another node over HTTP."""
+"""Fetch settings from another node over HTTP."""
 
 from __future__ import annotations
 
@@ -28,31 +28,34 @@
 
 
 class Decoder(Protocol[T_co]):
-    """Either of msgspec's decoders."""
+    """A msgspec decoder for JSON or MessagePack."""
 
     def decode(self, body: bytes, /) -> T_co:
-        """Read a value; raises ``msgspec.DecodeError``."""
+        """Decode a value; raises ``msgspec.DecodeError``."""
         ...
 
 
 def encode_changes(changes: list[SettingsChange], *, seal: Seal) -> bytes:
-    """Return what a node answers to a peer's fetch."""
+    """Return the signed response to a peer's request for changes."""
     return seal.sign(msgspec.json.encode(changes))
 
 
 def encode_snapshot(snapshot: SettingsSnapshot, *, seal: Seal) -> bytes:
-    """Return what a node answers to a peer that is too far behind."""
+    """Return the signed response to a peer's request for the full settings."""
     return seal.sign(msgspec.msgpack.encode(snapshot))
 
 
 class HttpPeerSettings:
-    """Ask a peer's operator port; answers are sealed like datagrams."""
+    """Fetches settings from a peer's operator port.
+
+    Responses are signed with the same seal as datagrams.
+    """
 
     def __init__(self, *, seal: Seal) -> None:
         self._seal = seal
 
     async def fetch(self, node: Node, *, after: int) -> list[SettingsChange] | None:
-        """Return the peer's changes after a version, None if it no longer has them.
+        """Return the peer's changes after a version, or None if it no longer has them.
 
         Raises ``PlatformError``.
         """
@@ -62,10 +65,10 @@
         return _decode(node, body, _decoder)
 
     async def fetch_snapshot(self, node: Node) -> SettingsSnapshot:
-        """Return the peer's whole tree; raises ``PlatformError``."""
+        """Return the peer's full settings tree; raises ``PlatformError``."""
         body = await self._get(node, SNAPSHOT_PATH)
         if body is None:
-            raise _failure(node, "the peer has no settings")
+            raise _failure(node, "peer has no settings yet")
         return _decode(node, body, _snapshot_decoder)
 
     async def _get(self, node: Node, path: str) -> bytes | None:
@@ -80,7 +83,7 @@
                 if response.status == STATUS_GONE:
                     return None
                 if response.status != STATUS_OK:
-                    raise _failure(node, f"status {response.status}")
+                    raise _failure(node, f"unexpected HTTP status {response.status}")
                 return self._seal.open(body, peer=node.node_id)
         except (aiohttp.ClientError, TimeoutError, WireError) as error:
             raise _failure(node, repr(error)) from error
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_error.py
@@ -1,10 +1,13 @@
-"""A change of settings that was not made."""
+"""Error raised when a change of settings is rejected."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """Say at which step a change was refused, by whom, and every reason."""
+    """A change of settings was rejected.
+
+    Carries the step that failed, the peer that caused it, and all reasons.
+    """
 
     def __init__(
         self, *, step: str, peer: str, reason: str, details: list[str] | None = None
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
@@ -1,4 +1,4 @@
-"""Keep the settings in force: learn changes from the platform and from peers."""
+"""Replicate the settings from the platform and from peers."""
 
 from __future__ import annotations
 
@@ -20,47 +20,50 @@
     from clementineyoke_node.objects.object_api import ObjectApi
 
 CHANGES_PREFIX = "settings/changes/"
-RETRY_PAUSE_S = 1.0
+RETRY_DELAY_S = 1.0
 VERSION_DIGITS = 12
-SNAPSHOT_CHANGES = 200
-"""Changes since the last snapshot that are worth a new one."""
+MIN_SNAPSHOT_CHANGES = 200
+"""Minimum number of changes since the last snapshot before a new one is written."""
 
 
-class PeerChanges(Protocol):
-    """Fetch changes from another node."""
+class PeerSettings(Protocol):
+    """Source of settings held by other nodes."""
 
     async def fetch(self, node: Node, *, after: int) -> list[SettingsChange] | None:
-        """Return the changes after a version; None if some are no longer kept."""
+        """Return the changes after a version, or None if some are no longer kept."""
         ...
 
     async def fetch_snapshot(self, node: Node) -> SettingsSnapshot:
-        """Return the peer's whole tree."""
+        """Return the peer's full settings tree."""
         ...
 
 
-class Duty(Protocol):
-    """Whether a share of work is this node's now; two that think so do no harm."""
+class DutyCheck(Protocol):
+    """Returns whether this node is currently responsible for a task.
+
+    It is safe if two nodes both believe so.
+    """
 
     def __call__(self) -> bool:
-        """Return the duty as of this moment."""
+        """Return whether this node is responsible now."""
         ...
 
 
 def change_name(version: int) -> str:
-    """Return the name of the object that holds a version's change."""
+    """Return the name of the object that stores the change of a version."""
     return f"{CHANGES_PREFIX}{version:0{VERSION_DIGITS}d}"
 
 
 class SettingsReplica:
-    """Own the log and the watch; everything that learns a change goes through here."""
+    """Local replica of the settings; changes from all sources are applied here."""
 
     def __init__(
         self,
         *,
         objects: ObjectApi,
-        peers: PeerChanges,
-        has_watch_duty: Duty,
-        has_snapshot_duty: Duty,
+        peers: PeerSettings,
+        has_watch_duty: DutyCheck,
+        has_snapshot_duty: DutyCheck,
     ) -> None:
         self._objects = objects
         self._snapshots = SnapshotStore(objects=objects)
@@ -68,23 +71,23 @@
         self._snapshot_version = 0
         self._peers = peers
         self._has_watch_duty = has_watch_duty
-        self._fetching: set[str] = set()
+        self._active_fetches: set[str] = set()
         self._tasks = BackgroundTasks()
         self.log = SettingsLog()
         self.ready = asyncio.Event()
-        """Set once some version is in force: nothing is served before."""
+        """Set once a version is in force; no requests are served before."""
 
     async def __aenter__(self) -> Self:
-        """Begin to watch."""
-        self._tasks.spawn(self._follow(), name="settings_watch")
+        """Start watching."""
+        self._tasks.spawn(self._watch(), name="settings_watch")
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         """Stop watching."""
         await self._tasks.__aexit__(*exc_info)
 
-    def take(self, changes: list[SettingsChange], *, source: str) -> None:
-        """Apply changes in order; older ones and gaps leave the log as it is."""
+    def apply(self, changes: list[SettingsChange], *, source: str) -> None:
+        """Apply changes in order; already applied ones and gaps are ignored."""
         for change in changes:
             outcome = self.log.apply(change)
             if outcome is ApplyOutcome.APPLIED:
@@ -94,17 +97,18 @@
                 self.ready.set()
 
     def fetch_newer(self, node: Node, version: int) -> None:
-        """Fetch from a peer that named a newer version, one fetch a peer at a time."""
-        if version <= self.log.version or node.node_id in self._fetching:
+        """Fetch from a peer with a newer version, with one fetch per peer at a time."""
+        if version <= self.log.version or node.node_id in self._active_fetches:
             return
-        self._fetching.add(node.node_id)
+        self._active_fetches.add(node.node_id)
         self._tasks.spawn(self._fetch_from(node), name="settings_fetch")
 
     async def refresh(self) -> None:
-        """Read what the platform holds beyond the version in force."""
+        """Read and apply the platform's changes after the version in force."""
         if self.log.version == 0:
-            # 12,000 changes a day: a new node must not read each from the first.
-            await self._restore_newest()
+            # Reading each change from the first would take too long for a new node:
+            # there may be 12,000 changes a day.
+            await self._restore_latest()
         while True:
             page = await self._objects.list_after(
                 CHANGES_PREFIX, change_name(self.log.version)
@@ -112,13 +116,13 @@
             if not page:
                 return
             before = self.log.version
-            self._take_bodies([stored.body for stored in page])
+            self._apply_encoded([stored.body for stored in page])
             if self.log.version == before:
                 return
 
     async def write_snapshot(self) -> None:
-        """Write a snapshot if this node is to and enough has changed since the last."""
-        if self.log.version - self._snapshot_version < SNAPSHOT_CHANGES:
+        """Write a snapshot if this node is responsible and enough has changed."""
+        if self.log.version - self._snapshot_version < MIN_SNAPSHOT_CHANGES:
             return
         if not self._has_snapshot_duty():
             return
@@ -131,17 +135,17 @@
         self._snapshot_version = snapshot.version
 
     async def poll(self) -> None:
-        """Look at the platform once, as a backstop for a node that hears no gossip."""
+        """Refresh once from the platform, as a fallback for a node without gossip."""
         try:
             await self.refresh()
         except PlatformError as error:
             log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         revision = 0
         while True:
             if self.log.version and not self._has_watch_duty():
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             try:
                 await self.refresh()
@@ -150,7 +154,7 @@
                 )
             except PlatformError as error:
                 log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             revision = result.revision
 
@@ -161,17 +165,17 @@
                 snapshot = await self._peers.fetch_snapshot(node)
                 self._restore(snapshot, source=node.node_id)
             else:
-                self.take(changes, source=node.node_id)
+                self.apply(changes, source=node.node_id)
         except PlatformError as error:
             log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
         finally:
-            self._fetching.discard(node.node_id)
+            self._active_fetches.discard(node.node_id)
 
-    async def _restore_newest(self) -> None:
+    async def _restore_latest(self) -> None:
         try:
             snapshot = await self._snapshots.read_newer(0)
         except msgspec.DecodeError as error:
-            # The log still holds everything; only the start takes longer.
+            # All changes can still be read one by one; only start-up takes longer.
             log_event(Event.SETTINGS_REFUSED, step="snapshot", reason=str(error))
             return
         self._restore(snapshot, source="platform")
@@ -183,10 +187,10 @@
         log_event(Event.SETTINGS_RESTORED, version=snapshot.version, source=source)
         self.ready.set()
 
-    def _take_bodies(self, bodies: list[bytes]) -> None:
+    def _apply_encoded(self, bodies: list[bytes]) -> None:
         try:
             changes = [decode_change(body) for body in bodies]
         except msgspec.DecodeError as error:
             log_event(Event.SETTINGS_REFUSED, step="decode", reason=str(error))
             return
-        self.take(changes, source="platform")
+        self.apply(changes, source="platform")
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
@@ -1,4 +1,4 @@
-"""Commit a change of settings: one conditional create on the platform."""
+"""Commit changes of settings by a conditional create on the platform."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     encode_change,
 )
 from clementineyoke_core.settings.validation import find_violations
-from clementineyoke_node.objects.object_api import NO_OBJECT
+from clementineyoke_node.objects.object_api import VERSION_ABSENT
 from clementineyoke_node.objects.platform_error import (
     PlatformError,
     VersionConflictError,
@@ -26,13 +26,13 @@
     from clementineyoke_node.settings.settings_replica import SettingsReplica
     from clementineyoke_wire.bodies import SettingsChangeBody
 
-LARGEST_CHANGE_BYTES = 900_000
-READ_BACK_TRIES = 5
-READ_BACK_PAUSE_S = 0.5
+MAX_CHANGE_BYTES = 900_000
+READ_BACK_ATTEMPTS = 5
+READ_BACK_DELAY_S = 0.5
 
 
 class PathDiff(NamedTuple):
-    """What a change does to one path."""
+    """The values of one path before and after a change."""
 
     path: str
     before: Values | None
@@ -40,26 +40,26 @@
 
 
 class SettingsWriter:
-    """Check, compare and commit what an operator wants."""
+    """Validates, compares and commits an operator's changes."""
 
     def __init__(
         self, *, objects: ObjectApi, settings: SettingsReplica, author_node: str
     ) -> None:
         self._objects = objects
-        self._keeper = settings
+        self._settings = settings
         self._author_node = author_node
 
     def diff(self, body: SettingsChangeBody) -> list[PathDiff]:
-        """Return what would change; raises ``SettingsError`` if it is not valid."""
-        faults = find_violations(body["edits"])
-        if faults:
+        """Return the differences; raises ``SettingsError`` if the change is invalid."""
+        violations = find_violations(body["edits"])
+        if violations:
             raise SettingsError(
                 step="validate",
                 peer="",
-                reason="the settings are refused as a whole",
-                details=[str(fault) for fault in faults],
+                reason="invalid settings; no part of the change was applied",
+                details=[str(violation) for violation in violations],
             )
-        tree = self._keeper.log.tree
+        tree = self._settings.log.tree
         diffs = [
             PathDiff(path, tree.own_values(path), after)
             for path, after in body["edits"].items()
@@ -67,7 +67,10 @@
         return [diff for diff in diffs if diff.before != diff.after]
 
     async def commit(self, body: SettingsChangeBody, *, wall_ms: int) -> SettingsChange:
-        """Make a change the next version; raises ``SettingsError`` on a conflict."""
+        """Commit a change as the next version.
+
+        Raises ``SettingsError`` if it is invalid, conflicts or cannot be stored.
+        """
         self.diff(body)
         await self._check_base(body)
         change = SettingsChange(
@@ -79,77 +82,86 @@
             edits=body["edits"],
         )
         await self._create(change)
-        self._keeper.take([change], source="writer")
+        self._settings.apply([change], source="writer")
         return change
 
     async def _check_base(self, body: SettingsChangeBody) -> None:
         try:
-            await self._keeper.refresh()
+            await self._settings.refresh()
         except PlatformError as error:
             raise SettingsError(
-                step="read", peer=error.peer, reason=f"nothing changed: {error.reason}"
+                step="read",
+                peer=error.peer,
+                reason=f"no change was made: {error.reason}",
             ) from error
-        current = self._keeper.log.version
+        current = self._settings.log.version
         if body["based_on"] != current:
-            raise self._conflict(body["based_on"] + 1, body)
+            raise self._make_conflict_error(body["based_on"] + 1, body)
 
     async def _create(self, change: SettingsChange) -> None:
         name = change_name(change.version)
         encoded = encode_change(change)
-        if len(encoded) > LARGEST_CHANGE_BYTES:
+        if len(encoded) > MAX_CHANGE_BYTES:
             raise SettingsError(
                 step="write",
                 peer="platform",
-                reason=f"a change holds at most {LARGEST_CHANGE_BYTES} bytes",
+                reason=f"change has {len(encoded)} bytes, limit is {MAX_CHANGE_BYTES}",
             )
         try:
-            await self._objects.write(name, encoded, expected_version=NO_OBJECT)
+            await self._objects.write(name, encoded, expected_version=VERSION_ABSENT)
         except PlatformError as error:
-            await self._settle(change, error)
+            await self._resolve_outcome(change, error)
 
-    async def _settle(self, change: SettingsChange, error: PlatformError) -> None:
-        """Find out whose change stands, after a conflict or a lost reply.
+    async def _resolve_outcome(
+        self, change: SettingsChange, error: PlatformError
+    ) -> None:
+        """Determine which change was stored, after a conflict or a lost reply.
 
-        A lost reply leaves open whether the create took effect. Reporting failure for
-        a change that did would be seen as a change "out of nowhere": the nonce tells.
+        After a lost reply it is unknown whether the create took effect. Reporting a
+        failure for a change that did would let it come into force unexpectedly, so the
+        stored change is read back and identified by its nonce.
         """
-        lost = not isinstance(error, VersionConflictError)
-        for _ in range(READ_BACK_TRIES):
+        is_outcome_unknown = not isinstance(error, VersionConflictError)
+        for _ in range(READ_BACK_ATTEMPTS):
             try:
                 stored = await self._objects.read(change_name(change.version))
             except PlatformError:
-                await asyncio.sleep(READ_BACK_PAUSE_S)
+                await asyncio.sleep(READ_BACK_DELAY_S)
                 continue
             if stored is None:
                 break
             winner = decode_change(stored.body)
             if winner.nonce == change.nonce:
                 return
-            await self._keeper.poll()
+            await self._settings.poll()
             raise SettingsError(
                 step="write",
                 peer=winner.author,
-                reason=f"version {winner.version} was taken first: {winner.note}",
+                reason=f"version {winner.version} was committed first: {winner.note}",
                 details=sorted(winner.edits),
             ) from error
-        state = "may yet come into force" if lost else "did not take effect"
+        state = (
+            "may still come into force" if is_outcome_unknown else "did not take effect"
+        )
         raise SettingsError(
             step="write", peer=error.peer, reason=f"{error.reason}; the change {state}"
         ) from error
 
-    def _conflict(self, version: int, body: SettingsChangeBody) -> SettingsError:
-        log = self._keeper.log
+    def _make_conflict_error(
+        self, version: int, body: SettingsChangeBody
+    ) -> SettingsError:
+        log = self._settings.log
         later = log.changes_after(version - 1) or []
         details = [
             f"version {change.version} by {change.author} changed "
             + ", ".join(sorted(change.edits))
             for change in later
         ]
-        yours = ", ".join(sorted(body["edits"]))
-        details.append(f"yours would change {yours}")
+        own_paths = ", ".join(sorted(body["edits"]))
+        details.append(f"your change affects {own_paths}")
         return SettingsError(
             step="compare",
             peer="",
-            reason=f"based on {body['based_on']}, in force is {log.version}",
+            reason=f"based on version {body['based_on']}, current is {log.version}",
             details=details,
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/snapshot_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots of settings on the platform: parts by version, and a head naming one."""
+"""Settings snapshots on the platform: parts per version, and a head naming one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     decode_parts,
     encode_parts,
 )
-from clementineyoke_node.objects.object_api import NO_OBJECT
+from clementineyoke_node.objects.object_api import VERSION_ABSENT
 from clementineyoke_node.objects.platform_error import (
     PlatformError,
     VersionConflictError,
@@ -24,7 +24,7 @@
 
 
 class SnapshotHead(msgspec.Struct, frozen=True):
-    """The newest snapshot that is there with all its parts."""
+    """The latest snapshot of which all parts are stored."""
 
     version: int
     parts: int
@@ -35,17 +35,20 @@
 
 
 class SnapshotStore:
-    """Write a snapshot's parts first and its head last.
+    """Stores a snapshot's parts first and the head that refers to them last.
 
-    A writer that dies between the two leaves parts that nobody names. Two writers of
-    one version write the same bytes; of two versions the head keeps the newer.
+    A writer that crashes in between leaves only unreferenced parts. Two writers of the
+    same version write the same bytes; of two versions the head keeps the newer one.
     """
 
     def __init__(self, *, objects: ObjectApi) -> None:
         self._objects = objects
 
     async def read_newer(self, version: int) -> SettingsSnapshot | None:
-        """Return the named snapshot if it is newer; raises ``PlatformError``."""
+        """Return the latest snapshot if it is newer than ``version``, or None.
+
+        Raises ``PlatformError`` or ``msgspec.DecodeError``.
+        """
         stored = await self._objects.read(HEAD_NAME)
         if stored is None:
             return None
@@ -56,7 +59,7 @@
         return decode_parts(parts)
 
     async def write(self, snapshot: SettingsSnapshot) -> bool:
-        """Write a snapshot; return False if the head names one as new already."""
+        """Write a snapshot; return False if the stored one is at least as new."""
         stored = await self._objects.read(HEAD_NAME)
         if stored is not None and _version_of(stored.body) >= snapshot.version:
             return False
@@ -64,7 +67,7 @@
         for index, part in enumerate(parts):
             await self._write_part(snapshot.version, index, part)
         head = SnapshotHead(snapshot.version, len(parts))
-        expected = NO_OBJECT if stored is None else stored.version
+        expected = VERSION_ABSENT if stored is None else stored.version
         try:
             await self._objects.write(
                 HEAD_NAME, _encoder.encode(head), expected_version=expected
@@ -76,16 +79,18 @@
     async def _write_part(self, version: int, index: int, part: bytes) -> None:
         try:
             name = _part_name(version, index)
-            await self._objects.write(name, part, expected_version=NO_OBJECT)
+            await self._objects.write(name, part, expected_version=VERSION_ABSENT)
         except VersionConflictError:
-            # It is there already: whoever wrote it wrote the same version's bytes.
+            # Already stored; all writers of a version write the same bytes.
             return
 
     async def _read_part(self, head: SnapshotHead, index: int) -> bytes:
         name = _part_name(head.version, index)
         stored = await self._objects.read(name)
         if stored is None:
-            raise PlatformError(step="read", peer=name, reason="a part is missing")
+            raise PlatformError(
+                step="read", peer=name, reason="snapshot part is missing"
+            )
         return stored.body
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
@@ -152,7 +152,7 @@
         expires_at_ms = self._timers.now_ms() + wait_ms
         queued = QueuedRequest(holder, team, priority, expires_at_ms)
         queue = self._queues.setdefault(runner_id, SlotQueue())
-        self._callbacks[holder] = on_result
+        self._callbacks[queued.holder] = on_result
         rejected = queue.add(queued)
         if rejected is not None:
             self._resolve(rejected.holder, granted=False)
--- a/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
+++ b/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
@@ -27,29 +27,29 @@
 
 
 def make_writer(context):
-    keeper = SettingsReplica(
+    replica = SettingsReplica(
         objects=context.objects,
         peers=NoPeers(),
         has_watch_duty=lambda: True,
         has_snapshot_duty=lambda: True,
     )
     writer = SettingsWriter(
-        objects=context.objects, settings=keeper, author_node="node-1"
+        objects=context.objects, settings=replica, author_node="node-1"
     )
-    return keeper, writer
+    return replica, writer
 
 
 @given("settings at version 1")
 def given_settings(context):
     context.objects = MemoryObjectApi(delay_ms=2.0)
-    context.keeper, context.writer = make_writer(context)
+    context.replica, context.writer = make_writer(context)
     body = make_body({"/": {"rate_per_s": 10}}, based_on=0)
     context.run(context.writer.commit(body, wall_ms=0))
-    assert context.keeper.log.version == 1
+    assert context.replica.log.version == 1
 
 
 @when("two operators commit changes based on version 1 at once")
-def race(context):
+def commit_concurrently(context):
     async def run():
         _, other = make_writer(context)
         commits = [
@@ -61,8 +61,8 @@
     context.run(run())
 
 
-@then("one is accepted and the other is shown the conflict")
-def check_race(context):
+@then("one is accepted and the other gets a conflict error")
+def check_conflict(context):
     accepted = [r for r in context.results if not isinstance(r, Exception)]
     refused = [r for r in context.results if isinstance(r, SettingsError)]
     assert len(accepted) == len(refused) == 1, context.results
@@ -73,14 +73,14 @@
 
 @then("the accepted one is in force")
 def check_in_force(context):
-    context.run(context.keeper.refresh())
-    assert context.keeper.log.version == 2
+    context.run(context.replica.refresh())
+    assert context.replica.log.version == 2
     path = next(iter(context.accepted.edits))
-    own = context.keeper.log.tree.own_values(path)
+    own = context.replica.log.tree.own_values(path)
     assert own == context.accepted.edits[path]
 
 
-@when("the reply of a commit is lost")
+@when("the reply to a commit is lost")
 def lose_reply(context):
     context.objects.lost_replies = 1
     body = make_body({"/a": {"priority": 1}})
@@ -90,11 +90,11 @@
 @then("the change is reported as accepted")
 def check_accepted(context):
     assert context.change.version == 2
-    assert context.keeper.log.tree.own_values("/a") == {"priority": 1}
+    assert context.replica.log.tree.own_values("/a") == {"priority": 1}
 
 
-@when("a change with one good and one bad path is committed")
-def commit_bad(context):
+@when("a change with one valid and one invalid path is committed")
+def commit_invalid(context):
     body = make_body({"/a": {"priority": 1}, "/b": {"priority": 99}})
     try:
         context.run(context.writer.commit(body, wall_ms=0))
@@ -102,11 +102,11 @@
         context.error = error
 
 
-@then("it is refused as a whole with the path of the fault")
-def check_bad(context):
+@then("it is rejected completely with the invalid path")
+def check_rejected(context):
     assert "/b priority" in context.error.details[0]
-    assert context.keeper.log.version == 1
-    assert context.keeper.log.tree.own_values("/a") is None
+    assert context.replica.log.version == 1
+    assert context.replica.log.tree.own_values("/a") is None
 
 
 @when("a change is only compared")
@@ -119,11 +119,11 @@
     diff = context.diffs[0]
     shown = (diff.path, diff.before, diff.after)
     assert shown == ("/", {"rate_per_s": 10}, {"rate_per_s": 20})
-    assert context.keeper.log.version == 1
+    assert context.replica.log.version == 1
 
 
 class OnePeer:
-    """A peer that answers from its log, as a node's operator port does."""
+    """A peer that serves changes and snapshots from its log, as a node does."""
 
     def __init__(self, log):
         self.log = log
@@ -137,7 +137,7 @@
 
 async def commit_many(context, count):
     for _ in range(count):
-        version = context.keeper.log.version
+        version = context.replica.log.version
         edits = {f"/group/team-{version % 40}": {"rate_per_s": version}}
         body = make_body(edits, based_on=version)
         await context.writer.commit(body, wall_ms=0)
@@ -149,14 +149,14 @@
 
     async def run():
         await commit_many(context, count)
-        await context.keeper.write_snapshot()
+        await context.replica.write_snapshot()
 
     context.run(run())
-    context.old = context.keeper.log.snapshot()
+    context.old_snapshot = context.replica.log.snapshot()
 
 
-@when("{count:d} more changes are committed and the platform goes away")
-def commit_and_away(context, count):
+@when("{count:d} more changes are committed and the platform becomes unavailable")
+def commit_before_outage(context, count):
     context.objects.delay_ms = 0.0
     context.run(commit_many(context, count))
     context.objects.is_away = True
@@ -169,36 +169,36 @@
 
 @then("a new node has version {version:d} after {calls:d} calls to the platform")
 def check_start(context, version, calls):
-    keeper, _ = make_writer(context)
+    replica, _ = make_writer(context)
     before = context.objects.calls
-    context.run(keeper.refresh())
-    assert keeper.log.version == version
+    context.run(replica.refresh())
+    assert replica.log.version == version
     assert context.objects.calls - before <= calls, context.objects.calls - before
-    assert keeper.log.tree.packed() == context.keeper.log.tree.packed()
+    assert replica.log.tree.packed() == context.replica.log.tree.packed()
 
 
-@then("a new node that hears of a peer has version {version:d} and the same tree")
+@then("a new node that learns of a peer has version {version:d} and the same tree")
 def check_peer_start(context, version):
     async def run():
-        keeper = SettingsReplica(
+        replica = SettingsReplica(
             objects=context.objects,
-            peers=OnePeer(context.keeper.log),
+            peers=OnePeer(context.replica.log),
             has_watch_duty=lambda: True,
             has_snapshot_duty=lambda: False,
         )
-        async with keeper:
+        async with replica:
             peer = Node("peer", "127.0.0.1", 1, 2, "zone", "region")
-            keeper.fetch_newer(peer, version)
+            replica.fetch_newer(peer, version)
             async with asyncio.timeout(10):
-                await keeper.ready.wait()
-        return keeper
+                await replica.ready.wait()
+        return replica
 
-    keeper = context.run(run())
-    assert keeper.log.version == version
-    assert keeper.log.tree.packed() == context.keeper.log.tree.packed()
+    replica = context.run(run())
+    assert replica.log.version == version
+    assert replica.log.tree.packed() == context.replica.log.tree.packed()
 
 
 @then("restoring the snapshot leaves version {version:d} in force")
-def check_old(context, version):
-    assert not context.keeper.log.restore(context.old)
-    assert context.keeper.log.version == version
+def check_outdated(context, version):
+    assert not context.replica.log.restore(context.old_snapshot)
+    assert context.replica.log.version == version
--- a/packages/clementineyoke-node/tests/steps/shard_task_steps.py
+++ b/packages/clementineyoke-node/tests/steps/shard_task_steps.py
@@ -12,7 +12,7 @@
 from clementineyoke_node.timers.timer_service import TimerService
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
 
-PATIENCE_MS = 2_000.0
+TIMEOUT_MS = 2_000.0
 
 
 async def open_task(context, stack):
@@ -25,13 +25,15 @@
     return await stack.enter_async_context(task)
 
 
-async def take(context, task, key, holder, patience_ms=PATIENCE_MS):
-    """Return the verdict, or None when the holder has given up."""
+async def claim(context, task, key, holder, timeout_ms=TIMEOUT_MS):
+    """Return the verdict, or None if the holder timed out."""
     future = asyncio.get_running_loop().create_future()
-    gives_up_ms = context.timers.now_ms() + patience_ms
-    ask = ClaimAttempt(key, holder, "digest")
-    task.submit(PendingClaim(ask, gives_up_ms, lambda d: future.set_result(d.verdict)))
-    done, _ = await asyncio.wait([future], timeout=patience_ms / 1000)
+    deadline_ms = context.timers.now_ms() + timeout_ms
+    attempt = ClaimAttempt(key, holder, "digest")
+    task.submit(
+        PendingClaim(attempt, deadline_ms, lambda d: future.set_result(d.verdict))
+    )
+    done, _ = await asyncio.wait([future], timeout=timeout_ms / 1000)
     if done:
         return future.result()
     task.report(ClaimReport(key, holder, False))
@@ -51,40 +53,40 @@
     context.objects.lost_replies = count
 
 
-@given("a shard task whose platform is away")
-def given_away(context):
+@given("a shard task whose platform is unavailable")
+def given_unavailable(context):
     given_task(context)
     context.objects.is_away = True
 
 
-@when("holders A and B ask for the same key")
-def ask_both(context):
+@when("holders A and B claim the same key")
+def claim_same_key(context):
     async def run():
         async with AsyncExitStack() as stack:
             task = await open_task(context, stack)
-            asks = [take(context, task, "key", holder) for holder in "AB"]
-            context.verdicts = await asyncio.gather(*asks)
+            claims = [claim(context, task, "key", holder) for holder in "AB"]
+            context.verdicts = await asyncio.gather(*claims)
 
     context.run(run())
 
 
-@then("exactly one of them is granted and the other is told unknown")
+@then("exactly one of them is granted and the other gets unknown")
 def check_one(context):
     expected = [ClaimVerdict.GRANTED, ClaimVerdict.UNKNOWN]
     assert sorted(context.verdicts) == expected, context.verdicts
 
 
-@when("{count:d} keys are asked for at both at once")
-def ask_keys(context, count):
+@when("{count:d} keys are claimed at both at once")
+def claim_at_both(context, count):
     async def run():
         async with AsyncExitStack() as stack:
             tasks = [await open_task(context, stack) for _ in range(2)]
-            asks = [
-                take(context, task, f"key-{key}", f"holder-{key}-{home}")
+            claims = [
+                claim(context, task, f"key-{key}", f"holder-{key}-{home}")
                 for key in range(count)
                 for home, task in enumerate(tasks)
             ]
-            context.verdicts = await asyncio.gather(*asks)
+            context.verdicts = await asyncio.gather(*claims)
             context.count = count
 
     context.run(run())
@@ -98,14 +100,14 @@
     assert all(pair.count(ClaimVerdict.GRANTED) == 1 for pair in pairs)
 
 
-@when("holder A asks, gives up, and the platform comes back")
-def ask_in_vain(context):
+@when("holder A claims a key, times out, and the platform recovers")
+def claim_during_outage(context):
     async def run():
         async with AsyncExitStack() as stack:
             task = await open_task(context, stack)
-            context.first = await take(context, task, "key", "A", patience_ms=50.0)
+            context.first = await claim(context, task, "key", "A", timeout_ms=50.0)
             context.objects.is_away = False
-            context.second = await take(context, task, "key", "B")
+            context.second = await claim(context, task, "key", "B")
 
     context.run(run())
 
@@ -116,17 +118,17 @@
 
 
 @then("holder B is granted the same key")
-def check_free(context):
+def check_second_granted(context):
     assert context.second is ClaimVerdict.GRANTED
 
 
-@when("{count:d} holders ask and report one after the other within 2 seconds")
-def ask_and_report(context, count):
+@when("{count:d} holders claim and report one after the other within 2 seconds")
+def claim_and_report(context, count):
     async def run():
         async with AsyncExitStack() as stack:
             context.task = task = await open_task(context, stack)
             for number in range(count):
-                verdict = await take(context, task, f"key-{number}", f"h-{number}")
+                verdict = await claim(context, task, f"key-{number}", f"h-{number}")
                 assert verdict is ClaimVerdict.GRANTED
                 task.report(ClaimReport(f"key-{number}", f"h-{number}", True))
 
