--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
@@ -117,7 +117,7 @@
     async def _process_pending(self) -> float:
         """Resolve claims and write what is due.
 
-        Returns the delay in ms after which to run again, or 0 if nothing is waiting.
+        Returns the delay in ms after which to run again, or 0 to wait for new input.
         """
         self._drop_expired()
         if self.is_idle:
@@ -137,9 +137,9 @@
             return RETRY_DELAY_MS
 
     def _write_due_ms(self) -> float:
-        # The platform accepts some hundred writes a second from the whole fleet. Without
-        # pacing, 1,000 posts a second cause 912 writes, since the report of each grant
-        # is written separately.
+        # The platform accepts some hundred writes a second from the whole fleet.
+        # Without pacing, 1,000 posts a second cause 912 writes, since the report of
+        # each grant is written separately.
         next_write_ms = self._last_write_ms + MIN_WRITE_INTERVAL_MS
         if self._pending:
             return next_write_ms
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
@@ -23,7 +23,7 @@
 
 
 MAX_ANNOUNCED_PEERS = 256
-"""Number of peers notified immediately when a node leaves, sampled anew each time.
+"""Peers notified immediately when a node leaves, a new sample for each announcement.
 Notifying only a few fixed peers takes seconds to spread by gossip in a large fleet, and
 meanwhile callers are sent to a node that no longer accepts connections."""
 KNOWN_STATES = frozenset(int(state) for state in NodeState)
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/introducer.py
@@ -52,16 +52,16 @@
         self._send(peer, is_reply=False)
 
     def _send(self, peer: PeerAddress, *, is_reply: bool) -> None:
-        own = self._membership.local_node
+        local_node = self._membership.local_node
         hello = NodeHello(
             is_reply,
-            own.node_id,
-            own.address,
-            own.caller_port,
-            own.peer_port,
-            own.availability_zone,
-            own.region,
-            own.calls_per_s,
+            local_node.node_id,
+            local_node.address,
+            local_node.caller_port,
+            local_node.peer_port,
+            local_node.availability_zone,
+            local_node.region,
+            local_node.calls_per_s,
         )
         self._socket.send(peer, hello)
 
