--- a/packages/clementineyoke-node/tests/slots/slot_home.feature
+++ b/packages/clementineyoke-node/tests/slots/slot_home.feature
@@ -8,9 +8,8 @@
     Then the request is refused
 
   Scenario: A node restarts while its old grants are active
-    # Ask IDs that started at the start time in seconds ran ahead of the clock at 13
-    # requests a second, so a node restarted after 1,000 seconds reused IDs of active
-    # grants, and the runner held more requests than its home had counted.
+    # Ask IDs counted up from the start time ran ahead of the clock at 13 requests a second;
+    # restarted after 1,000 seconds, a node reused IDs of active grants, left uncounted.
     Given a home with 4 slots free and a node that has made 13000 requests
     When the node restarts after 1000 seconds and makes 4 requests
     Then the last grants of the old process and the 4 new ones are all counted
