--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
@@ -59,6 +59,6 @@
             raise PlatformError(
                 step="read",
                 peer=name,
-                reason="ring slot reused while reading the shard",
+                reason="the head has moved on",
             )
         return StoredSegment(stored.version, None)
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/http_platform.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/http_platform.py
@@ -97,9 +97,7 @@
         self, method: str, path: str, *, wait_ms: int = 0, **options: Any
     ) -> tuple[int, Any]:
         if self._session is None:
-            raise PlatformError(
-                step=method, peer=self._url, reason="client is not open"
-            )
+            raise PlatformError(step=method, peer=self._url, reason="is closed")
         total_s = (self._timeout_ms + wait_ms) / MS_PER_S
         try:
             async with self._session.request(
@@ -119,7 +117,7 @@
         step = f"{method} {path}"
         if status == STATUS_CONFLICT:
             raise VersionConflictError(
-                step=step, peer=self._url, reason="object version does not match"
+                step=step, peer=self._url, reason="another version"
             )
         if status >= STATUS_ERROR and status != STATUS_NOT_FOUND:
             raise PlatformError(step=step, peer=self._url, reason=f"status {status}")
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
@@ -68,7 +68,7 @@
         """Return the peer's full settings tree; raises ``PlatformError``."""
         body = await self._get(node, SNAPSHOT_PATH)
         if body is None:
-            raise _failure(node, "peer has no settings yet")
+            raise _failure(node, "the peer has no settings")
         return _decode(node, body, _snapshot_decoder)
 
     async def _get(self, node: Node, path: str) -> bytes | None:
@@ -83,7 +83,7 @@
                 if response.status == STATUS_GONE:
                     return None
                 if response.status != STATUS_OK:
-                    raise _failure(node, f"unexpected HTTP status {response.status}")
+                    raise _failure(node, f"status {response.status}")
                 return self._seal.open(body, peer=node.node_id)
         except (aiohttp.ClientError, TimeoutError, WireError) as error:
             raise _failure(node, repr(error)) from error
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_writer.py
@@ -56,7 +56,7 @@
             raise SettingsError(
                 step="validate",
                 peer="",
-                reason="invalid settings; no part of the change was applied",
+                reason="the settings are refused as a whole",
                 details=[str(violation) for violation in violations],
             )
         tree = self._settings.log.tree
@@ -92,7 +92,7 @@
             raise SettingsError(
                 step="read",
                 peer=error.peer,
-                reason=f"no change was made: {error.reason}",
+                reason=f"nothing changed: {error.reason}",
             ) from error
         current = self._settings.log.version
         if body["based_on"] != current:
@@ -137,11 +137,11 @@
             raise SettingsError(
                 step="write",
                 peer=winner.author,
-                reason=f"version {winner.version} was committed first: {winner.note}",
+                reason=f"version {winner.version} was taken first: {winner.note}",
                 details=sorted(winner.edits),
             ) from error
         state = (
-            "may still come into force" if is_outcome_unknown else "did not take effect"
+            "may yet come into force" if is_outcome_unknown else "did not take effect"
         )
         raise SettingsError(
             step="write", peer=error.peer, reason=f"{error.reason}; the change {state}"
@@ -158,10 +158,10 @@
             for change in later
         ]
         own_paths = ", ".join(sorted(body["edits"]))
-        details.append(f"your change affects {own_paths}")
+        details.append(f"yours would change {own_paths}")
         return SettingsError(
             step="compare",
             peer="",
-            reason=f"based on version {body['based_on']}, current is {log.version}",
+            reason=f"based on {body['based_on']}, in force is {log.version}",
             details=details,
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/snapshot_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/snapshot_store.py
@@ -88,9 +88,7 @@
         name = _part_name(head.version, index)
         stored = await self._objects.read(name)
         if stored is None:
-            raise PlatformError(
-                step="read", peer=name, reason="snapshot part is missing"
-            )
+            raise PlatformError(step="read", peer=name, reason="a part is missing")
         return stored.body
 
 
