--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
@@ -1,4 +1,4 @@
-"""An attempt at one runner that gave no answer to hand on."""
+"""The error of an attempt that gave no response to return to the caller."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 if TYPE_CHECKING:
     from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
-    from clementineyoke_node.edge.runner_response import WholeAnswer
+    from clementineyoke_node.edge.runner_response import CompleteResponse
 
 
 class AttemptError(Exception):
-    """Say how far an attempt got, at which step and at which runner."""
+    """Raised when an attempt fails, with its outcome, the step and the runner."""
 
     def __init__(
         self,
         *,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         step: str,
         peer: str,
         reason: str,
-        answer: WholeAnswer | None = None,
-        is_break: bool = False,
+        response: CompleteResponse | None = None,
+        is_connection_lost: bool = False,
     ) -> None:
         super().__init__(f"{step} {peer}: {reason}")
-        self.end = end
+        self.outcome = outcome
         self.step = step
         self.peer = peer
         self.reason = reason
-        self.is_break = is_break
-        """Whether an answer that was under way broke, as when a runner dies."""
-        self.answer = answer
-        """The runner's own failing answer, to hand on if nothing better comes."""
+        self.is_connection_lost = is_connection_lost
+        """Whether the connection broke during the call, as when a runner dies."""
+        self.response = response
+        """The runner's own error response, returned if no retry succeeds."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
@@ -1,4 +1,4 @@
-"""Carry out one attempt of a call at one runner."""
+"""Executes one attempt of a call at one runner."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.overdue_timer import OverdueAlarm
-from clementineyoke_node.edge.response_checks import check_outcome, read_whole
-from clementineyoke_node.edge.runner_timeout import RunnerWait
+from clementineyoke_node.edge.overdue_timer import OverdueTimer
+from clementineyoke_node.edge.response_checks import check_outcome, read_response
+from clementineyoke_node.edge.runner_timeout import RunnerTimeout
 from clementineyoke_node.platform.runner_codec import RunnerOrder
 from clementineyoke_wire.events import Event
 
@@ -29,16 +29,16 @@
     from clementineyoke_node.callers.decision_ring import DecisionRing
     from clementineyoke_node.edge.caller_stream import CallerStream
     from clementineyoke_node.edge.runner_connection_pool import RunnerConnectionPool
-    from clementineyoke_node.edge.runner_response import OpenAnswer, WholeAnswer
+    from clementineyoke_node.edge.runner_response import CompleteResponse, OpenResponse
     from clementineyoke_node.slots.slot_broker import SlotBroker
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
-LEAST_WAIT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 
 
 class AttemptExecutor:
-    """Send a call to a runner, and hand on or return what comes back."""
+    """Sends a call to a runner, and relays the stream or returns the response."""
 
     def __init__(
         self,
@@ -54,32 +54,32 @@
         membership: Membership,
     ) -> None:
         self._broker = broker
-        self._link = connection_pool
+        self._connection_pool = connection_pool
         self._rings = rings
         self._table = table
-        self._patience = timeouts
-        self._holders = prompt_holders
+        self._timeouts = timeouts
+        self._prompt_holders = prompt_holders
         self._timers = timers
         self._decisions = decisions
         self._membership = membership
 
-    async def carry_out(
+    async def execute(
         self,
         admitted: AdmittedCall,
         runner: Runner,
         stream: CallerStream,
-        may_go_on: Callable[[], bool],
-    ) -> WholeAnswer | None:
-        """Return the runner's whole answer, or None when its stream was handed on.
+        may_retry: Callable[[], bool],
+    ) -> CompleteResponse | None:
+        """Return the runner's complete response, or None when its stream was relayed.
 
-        ``may_go_on`` tells whether another runner may be tried if this one is silent.
-        Raises ``AttemptError``.
+        ``may_retry`` returns whether the call may go to another runner if this one is
+        silent. Raises ``AttemptError`` when the attempt gave no valid response.
         """
         now_ms = self._timers.now_ms()
         left_ms = admitted.deadline_ms - now_ms
         if left_ms <= 0:
             raise AttemptError(
-                end=AttemptOutcome.NOT_SENT,
+                outcome=AttemptOutcome.NOT_SENT,
                 step="dispatch",
                 peer=runner.runner_id,
                 reason="no time left",
@@ -89,50 +89,50 @@
             team=admitted.team,
             left_ms=left_ms,
             urgency=admitted.priority,
-            last_event=stream.last_event,
-            fetch_from=self._holder(admitted, runner),
+            last_event=stream.last_event_id,
+            fetch_from=self._fetch_address(admitted, runner),
         )
-        head_wait = self._head_wait(admitted, may_go_on)
-        with self._alarm(admitted, runner) as alarm:
-            async with self._link.open(
+        head_timeout = self._head_timeout(admitted, may_retry)
+        with self._make_overdue_timer(admitted, runner) as overdue_timer:
+            async with self._connection_pool.send(
                 runner,
                 admitted.call,
                 order,
-                wait=head_wait,
+                runner_timeout=head_timeout,
                 may_repeat=admitted.route.may_repeat,
-            ) as answer:
-                if answer.head.is_event_stream and not answer.head.is_refusal:
+            ) as response:
+                if response.head.is_event_stream and not response.head.is_refusal:
                     await self._relay(
                         admitted,
                         runner,
                         stream,
-                        answer,
-                        alarm,
-                        may_go_on,
-                        begun_ms=now_ms,
+                        response,
+                        overdue_timer,
+                        may_retry,
+                        started_ms=now_ms,
                     )
                     return None
-                whole = await self._read(admitted, runner, answer)
-        check_outcome(whole, runner=runner)
-        if stream.has_begun:
+                complete = await self._read_response(admitted, runner, response)
+        check_outcome(complete, runner=runner)
+        if stream.has_started:
             raise AttemptError(
-                end=AttemptOutcome.FAILED,
+                outcome=AttemptOutcome.FAILED,
                 step="resume",
                 peer=runner.runner_id,
-                reason=f"answered {whole.head.status} to a stream that goes on",
+                reason=f"answered {complete.head.status} to a stream that goes on",
             )
-        return whole
+        return complete
 
-    async def _read(
-        self, admitted: AdmittedCall, runner: Runner, answer: OpenAnswer
-    ) -> WholeAnswer:
+    async def _read_response(
+        self, admitted: AdmittedCall, runner: Runner, response: OpenResponse
+    ) -> CompleteResponse:
         left_ms = admitted.deadline_ms - self._timers.now_ms()
         try:
-            async with asyncio.timeout(max(LEAST_WAIT_S, left_ms / MS_PER_S)):
-                return await read_whole(answer, runner=runner)
+            async with asyncio.timeout(max(MIN_TIMEOUT_S, left_ms / MS_PER_S)):
+                return await read_response(response, runner=runner)
         except TimeoutError as error:
             raise AttemptError(
-                end=AttemptOutcome.LOST,
+                outcome=AttemptOutcome.LOST,
                 step="read_body",
                 peer=runner.runner_id,
                 reason="the time is up",
@@ -143,35 +143,35 @@
         admitted: AdmittedCall,
         runner: Runner,
         stream: CallerStream,
-        answer: OpenAnswer,
-        alarm: OverdueAlarm,
-        may_go_on: Callable[[], bool],
+        response: OpenResponse,
+        overdue_timer: OverdueTimer,
+        may_retry: Callable[[], bool],
         *,
-        begun_ms: float,
+        started_ms: float,
     ) -> None:
-        if not answer.head.has_proof:
+        if not response.head.has_proof:
             raise AttemptError(
-                end=AttemptOutcome.LOST,
+                outcome=AttemptOutcome.LOST,
                 step="check_proof",
                 peer=runner.runner_id,
                 reason="a stream without the runner's proof",
             )
-        await stream.begin(answer.head, is_leaving=self._membership.is_leaving)
+        await stream.start(response.head, is_leaving=self._membership.is_leaving)
         is_first = True
         while chunk := await self._next_chunk(
-            admitted, runner, answer, stream, may_go_on
+            admitted, runner, response, stream, may_retry
         ):
-            alarm.stop()
+            overdue_timer.stop()
             if is_first:
-                self._patience.record_first_event(
-                    admitted.route, latency_ms=self._timers.now_ms() - begun_ms
+                self._timeouts.record_first_event(
+                    admitted.route, latency_ms=self._timers.now_ms() - started_ms
                 )
                 is_first = False
-                self._note_holder(admitted, runner)
-            await stream.feed(chunk)
-        if stream.has_part:
+                self._record_holder(admitted, runner)
+            await stream.write_chunk(chunk)
+        if stream.has_partial_event:
             raise AttemptError(
-                end=AttemptOutcome.LOST,
+                outcome=AttemptOutcome.LOST,
                 step="relay",
                 peer=runner.runner_id,
                 reason="the stream stopped within an event",
@@ -182,30 +182,30 @@
         self,
         admitted: AdmittedCall,
         runner: Runner,
-        answer: OpenAnswer,
+        response: OpenResponse,
         stream: CallerStream,
-        may_go_on: Callable[[], bool],
+        may_retry: Callable[[], bool],
     ) -> bytes:
-        if stream.events:
-            wait = self._pause_wait(admitted, may_go_on)
+        if stream.sent_events:
+            timeout = self._next_event_timeout(admitted, may_retry)
         else:
-            wait = self._head_wait(admitted, may_go_on)
+            timeout = self._head_timeout(admitted, may_retry)
         try:
-            async with wait.bounded():
-                return await answer.response.content.readany()
+            async with timeout.enforce():
+                return await response.client_response.content.readany()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise AttemptError(
-                end=AttemptOutcome.LOST,
+                outcome=AttemptOutcome.LOST,
                 step="relay",
                 peer=runner.runner_id,
                 reason=repr(error),
-                is_break=not isinstance(error, TimeoutError),
+                is_connection_lost=not isinstance(error, TimeoutError),
             ) from error
 
-    def _holder(self, admitted: AdmittedCall, runner: Runner) -> str | None:
-        """Return the address of another runner that most likely holds the prompt.
+    def _fetch_address(self, admitted: AdmittedCall, runner: Runner) -> str | None:
+        """Return the address of another runner that probably has the prompt cached.
 
-        A part that is fetched costs about a seventh of one that is read again.
+        Fetching a part of a prompt costs about a seventh of processing it again.
         """
         if admitted.prompt_key is None:
             return None
@@ -222,25 +222,30 @@
         return None
 
     def _last_holder(self, prompt_key: int) -> Runner | None:
-        """Return the runner that answered for a prompt last, if it can be asked."""
-        last = self._holders.last_holder(prompt_key, now_ms=self._timers.now_ms())
+        """Return the usable runner that last answered a call with a prompt."""
+        last = self._prompt_holders.last_holder(
+            prompt_key, now_ms=self._timers.now_ms()
+        )
         if last is None or not self._table.is_current(last):
             return None
-        # One that is dark would hold up the runner that fetches from it.
+        # A runner that fetches from an unreachable one would be delayed.
         return None if self._table.is_quarantined(last.runner_id) else last
 
-    def _note_holder(self, admitted: AdmittedCall, runner: Runner) -> None:
+    def _record_holder(self, admitted: AdmittedCall, runner: Runner) -> None:
         if admitted.prompt_key is not None:
-            self._holders.record_answer(
+            self._prompt_holders.record_answer(
                 admitted.prompt_key, runner, now_ms=self._timers.now_ms()
             )
 
-    def _alarm(self, admitted: AdmittedCall, runner: Runner) -> OverdueAlarm:
-        after_ms = self._patience.overdue_after_ms(
+    def _make_overdue_timer(
+        self, admitted: AdmittedCall, runner: Runner
+    ) -> OverdueTimer:
+        after_ms = self._timeouts.overdue_after_ms(
             admitted.route, prompt_tokens=admitted.prompt_tokens
         )
-        return OverdueAlarm(
-            after_ms=after_ms, call=partial(self._report_overdue, admitted, runner)
+        return OverdueTimer(
+            after_ms=after_ms,
+            on_overdue=partial(self._report_overdue, admitted, runner),
         )
 
     def _report_overdue(self, admitted: AdmittedCall, runner: Runner) -> None:
@@ -252,26 +257,26 @@
             after_ms=round(self._timers.now_ms() - admitted.arrived_ms),
         )
 
-    def _head_wait(
-        self, admitted: AdmittedCall, may_go_on: Callable[[], bool]
-    ) -> RunnerWait:
+    def _head_timeout(
+        self, admitted: AdmittedCall, may_retry: Callable[[], bool]
+    ) -> RunnerTimeout:
         route, tokens = admitted.route, admitted.prompt_tokens
         left_ms = admitted.deadline_ms - self._timers.now_ms()
-        return RunnerWait(
-            patience_ms=self._patience.head_timeout_ms(route, prompt_tokens=tokens),
-            longest_ms=min(
+        return RunnerTimeout(
+            soft_timeout_ms=self._timeouts.head_timeout_ms(route, prompt_tokens=tokens),
+            hard_timeout_ms=min(
                 left_ms,
-                self._patience.last_attempt_timeout_ms(route, prompt_tokens=tokens),
+                self._timeouts.last_attempt_timeout_ms(route, prompt_tokens=tokens),
             ),
-            may_go_on=may_go_on,
+            may_retry=may_retry,
         )
 
-    def _pause_wait(
-        self, admitted: AdmittedCall, may_go_on: Callable[[], bool]
-    ) -> RunnerWait:
+    def _next_event_timeout(
+        self, admitted: AdmittedCall, may_retry: Callable[[], bool]
+    ) -> RunnerTimeout:
         left_ms = admitted.deadline_ms - self._timers.now_ms()
-        return RunnerWait(
-            patience_ms=self._patience.next_event_timeout_ms(admitted.route),
-            longest_ms=left_ms,
-            may_go_on=may_go_on,
+        return RunnerTimeout(
+            soft_timeout_ms=self._timeouts.next_event_timeout_ms(admitted.route),
+            hard_timeout_ms=left_ms,
+            may_retry=may_retry,
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
@@ -1,4 +1,4 @@
-"""The door for callers: decode, admit, forward, and answer for what fails."""
+"""HTTP handler for callers: decodes, admits and forwards calls."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class CallerApi:
-    """Answer callers' requests, each with one answer or a visible break."""
+    """Answers callers' requests, each with one response or a broken connection."""
 
     def __init__(
         self,
@@ -59,35 +59,35 @@
         self._rng = rng
         self._membership = membership
         self._start_wait = start_wait
-        self._rate = call_rate
-        self._busy: set[web.RequestHandler] = set()
+        self._call_rate = call_rate
+        self._active_connections: set[web.RequestHandler] = set()
 
     def record_start(self) -> None:
-        """Note the node's start."""
+        """Record the node's start."""
         self._start_wait.record_start(now_ms=self._timers.now_ms())
 
     def is_busy(self, connection: web.RequestHandler) -> bool:
-        """Whether a caller's connection carries a call now."""
-        return connection in self._busy
+        """Return whether a call is in progress on a caller's connection."""
+        return connection in self._active_connections
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle a request, and record its outcome and duration."""
         arrived_ms = self._timers.now_ms()
-        self._rate.record(now_ms=arrived_ms)
+        self._call_rate.record(now_ms=arrived_ms)
         connection = request.protocol
-        self._busy.add(connection)
+        self._active_connections.add(connection)
         try:
             with self._in_flight.one():
-                response = await self._answer(request, arrived_ms)
+                response = await self._respond(request, arrived_ms)
         finally:
-            self._busy.discard(connection)
+            self._active_connections.discard(connection)
         if self._membership.is_leaving and not response.prepared:
             response.force_close()
         elapsed_ms = self._timers.now_ms() - arrived_ms
         self._metrics.record_outcome(str(response.status), elapsed_ms)
         return response
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, arrived_ms: float
     ) -> web.StreamResponse:
         try:
@@ -105,12 +105,12 @@
         try:
             return await self._serve(request, call, arrived_ms)
         except RequestError as error:
-            return self._refuse(call, error, arrived_ms)
+            return self._error_response(call, error, arrived_ms)
         except asyncio.CancelledError:
             self._decisions.record(Event.CALLER_GONE, request_id=call.call_id)
             raise
         except ConnectionError as error:
-            # Writing met a connection that the caller had closed; nothing can be told.
+            # The caller has closed its connection, and no response can reach it.
             self._decisions.record(
                 Event.CALLER_GONE, request_id=call.call_id, reason=repr(error)
             )
@@ -138,11 +138,11 @@
             async with asyncio.timeout(wait_ms / MS_PER_S):
                 await self._view.ready.wait()
         except TimeoutError:
-            return  # what is known by now decides, and the refusal says so
+            return  # The call is admitted or refused by the state known so far.
         finally:
             self._start_wait.end_wait()
 
-    def _refuse(
+    def _error_response(
         self, call: EdgeCall, error: RequestError, arrived_ms: float
     ) -> web.Response:
         self._decisions.record(
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
@@ -1,4 +1,4 @@
-"""One caller's event stream, fed by one runner or by several in turn."""
+"""A caller's event stream, produced by one runner or by several in turn."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class CallerStream:
-    """Own the answer to one caller; events go out whole, in order and once."""
+    """Writes a streamed response to a caller: complete events, in order, each once."""
 
-    def __init__(self, *, request: web.Request, last_event: int | None) -> None:
+    def __init__(self, *, request: web.Request, last_event_id: int | None) -> None:
         self._request = request
         self._response: web.StreamResponse | None = None
         self._splitter = EventSplitter()
-        self.last_event = last_event
-        """The last event that the caller has."""
-        self.events = 0
+        self.last_event_id = last_event_id
+        """The id of the last event that the caller has."""
+        self.sent_events = 0
 
     @property
-    def has_begun(self) -> bool:
-        """Whether the caller has been sent the answer's head."""
+    def has_started(self) -> bool:
+        """Whether the head of the response has been sent."""
         return self._response is not None
 
     @property
-    def has_part(self) -> bool:
-        """Whether the runner stopped within an event."""
+    def has_partial_event(self) -> bool:
+        """Whether the runner's data ends within an event."""
         return self._splitter.has_partial_event
 
-    async def begin(self, head: AnswerHead, *, is_leaving: bool) -> None:
-        """Send the head of the first runner that answers; later ones add events."""
+    async def start(self, head: AnswerHead, *, is_leaving: bool) -> None:
+        """Start to relay a runner's stream; only the first runner's head is sent."""
         self._splitter = EventSplitter()
         if self._response is not None:
             return
@@ -47,28 +47,28 @@
         self._response = response
         await response.prepare(self._request)
 
-    async def feed(self, chunk: bytes) -> int:
-        """Hand on the events that a chunk completes; return how many."""
+    async def write_chunk(self, chunk: bytes) -> int:
+        """Write the events that a chunk completes, and return their number."""
         events = [event for event in self._splitter.feed(chunk) if self._is_new(event)]
         if events and self._response is not None:
             await self._response.write(b"".join(event.body for event in events))
-        self.events += len(events)
+        self.sent_events += len(events)
         return len(events)
 
     @property
     def response(self) -> web.StreamResponse:
-        """The answer that was begun."""
+        """The response that was started; raises ``RuntimeError`` if there is none."""
         if self._response is None:
-            message = "the stream has not begun"
+            message = "the stream has not started"
             raise RuntimeError(message)
         return self._response
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
         await self.response.write_eof()
 
     def abort(self) -> web.StreamResponse:
-        """Break the connection: the caller must not take a part for the whole."""
+        """Abort the connection, so that the caller sees an incomplete response."""
         if self._request.transport is not None:
             self._request.transport.abort()
         return self.response
@@ -76,8 +76,8 @@
     def _is_new(self, event: StreamEvent) -> bool:
         if event.event_id is None:
             return True
-        if self.last_event is not None and event.event_id <= self.last_event:
-            # A runner that goes on may begin with what the caller has already.
+        if self.last_event_id is not None and event.event_id <= self.last_event_id:
+            # A runner that resumes a stream may repeat events that the caller has.
             return False
-        self.last_event = event.event_id
+        self.last_event_id = event.event_id
         return True
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_archive.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_archive.py
@@ -1,4 +1,4 @@
-"""Keep refused requests in the platform's store, for when all nodes start anew."""
+"""Persists refused requests in the platform's store, for a restart of all nodes."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
     from clementineyoke_wire.messages import CrashNote
 
 MS_PER_S = 1000.0
-MOST_WRITES_A_ROUND = 4
-"""Calls to the store at a time: such requests are few, and peers know them at once."""
-RETRY_PAUSE_MS = 2_000.0
-"""After a call that failed: the store is away, and has enough to do when it is back."""
+MAX_WRITES_PER_ROUND = 4
+"""Limits the writes, and the deletions, per round: refused requests are few, and the
+peers know them at once."""
+RETRY_DELAY_MS = 2_000.0
+"""Delay after a failed call to the store, so that a store that recovers is not
+overloaded."""
 
 
 class CrashArchive:
-    """Own what the store holds of refused requests.
+    """Keeps the store's records of refused requests up to date.
 
-    After a loss of power nobody is left who could tell, and a refused request would end
-    three more runners. The first home of each writes it down, one object and two calls
-    for as long as it is refused. Only watchers of the store read these objects, once,
-    when they start; all others learn from them.
+    After a power failure no node has a record in memory, and a refused request would
+    crash three more runners. The first home node of each request stores it, as one
+    object and with two calls to the store per refusal. Only nodes that watch the store
+    read these objects, once at their start; they notify the others.
     """
 
     def __init__(
@@ -46,36 +48,36 @@
         is_watcher: Callable[[], bool],
     ) -> None:
         self._store = store
-        self._crashes = crash_tracker
+        self._crash_tracker = crash_tracker
         self._timers = timers
-        self._has_duty = is_watcher
+        self._is_watcher = is_watcher
         self._paused_until_ms = 0.0
         self._written: dict[bytes, int] = {}
-        """Ends under each request as they were last written."""
+        """Number of crashes last written for each request, by its digest."""
 
-    async def load_after(self, entered: asyncio.Event) -> None:
-        """Read what is kept, once it is known who watches the store."""
-        await entered.wait()
-        while self._has_duty():
+    async def load_after(self, registered: asyncio.Event) -> None:
+        """Load the stored records once it is known which nodes watch the store."""
+        await registered.wait()
+        while self._is_watcher():
             try:
-                await self._read()
+                await self._load()
             except StoreError as error:
                 log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
-                await asyncio.sleep(RETRY_PAUSE_MS / MS_PER_S)
+                await asyncio.sleep(RETRY_DELAY_MS / MS_PER_S)
                 continue
             return
 
     async def run_round(self) -> None:
-        """Write and remove what is due."""
+        """Store new refusals and delete the objects of those that are over."""
         if self._timers.now_ms() < self._paused_until_ms:
             return
         try:
-            await self._write()
+            await self._sync()
         except StoreError as error:
-            self._paused_until_ms = self._timers.now_ms() + RETRY_PAUSE_MS
+            self._paused_until_ms = self._timers.now_ms() + RETRY_DELAY_MS
             log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
 
-    async def _read(self) -> None:
+    async def _load(self) -> None:
         listed = await self._store.list_all(names.CRASHES_KIND)
         notes: list[CrashNote] = []
         for entry in listed.entries:
@@ -87,26 +89,26 @@
             if note.age_ms < RETENTION_MS:
                 notes.append(note)
             else:
-                # Its home has not lived to remove it.
+                # Its home node ended before it could delete the object.
                 await self._store.delete(names.CRASHES_KIND, entry.name)
-        self._crashes.tell_notes(notes)
+        self._crash_tracker.broadcast_notes(notes)
 
-    async def _write(self) -> None:
-        refused = self._crashes.refused_here()
+    async def _sync(self) -> None:
+        refused = self._crash_tracker.owned_refusals()
         due = [
             digest
             for digest, record in refused.items()
             if self._written.get(digest) != record.crashes
         ]
-        for digest in due[:MOST_WRITES_A_ROUND]:
+        for digest in due[:MAX_WRITES_PER_ROUND]:
             await self._put(digest, refused[digest])
             self._written[digest] = refused[digest].crashes
-        over = [
+        expired = [
             digest
             for digest in self._written
-            if digest not in refused and not self._crashes.is_refused(digest)
+            if digest not in refused and not self._crash_tracker.is_refused(digest)
         ]
-        for digest in over[:MOST_WRITES_A_ROUND]:
+        for digest in expired[:MAX_WRITES_PER_ROUND]:
             await self._store.delete(names.CRASHES_KIND, digest.hex())
             del self._written[digest]
 
@@ -116,5 +118,5 @@
         try:
             await self._store.create(names.CRASHES_KIND, digest.hex(), spec)
         except RevisionConflictError:
-            # Of an earlier time, or of a home before this one.
+            # Left by an earlier refusal or by a previous home node.
             await self._store.replace(names.CRASHES_KIND, digest.hex(), spec)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
@@ -1,4 +1,4 @@
-"""Learn under which requests runners end, with the other nodes, and refuse those."""
+"""Detects requests that crash runners, shares them among the nodes and refuses them."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
-LOOK_AFTER_MS = 20.0
-"""From the first call that broke at a runner until the node looks whether it has ended:
-the other calls break in the same moment, and a process that is being ended may close
-its listener last."""
-HOMES_A_REQUEST = 3
-"""Nodes that count for a request: one may be down and one may just have started."""
-NOTES_A_GOSSIP = 2
-"""Records that go along with each probe and its reply."""
-MOST_NOTES = 256
-"""Records that a node hands to one that has just started."""
+PROBE_DELAY_MS = 20.0
+"""Delay from the first broken call at a runner to the check whether it has crashed: its
+other calls break at the same moment, and a process that ends may close its listening
+socket last."""
+HOMES_PER_REQUEST = 3
+"""Nodes that count the crashes of a request: one may be down and one may just have
+started."""
+NOTES_PER_GOSSIP = 2
+"""Records attached to each gossip probe and its reply."""
+MAX_SNAPSHOT_NOTES = 256
+"""Records sent to a node that has just started."""
 KEY_BYTES = 8
 
 
 class BrokenCall(NamedTuple):
-    """A call whose answer broke, as when its runner ends."""
+    """A call whose connection broke, as when its runner crashes."""
 
     digest: bytes
     sent_ms: float
@@ -52,14 +53,15 @@
 
 
 class CrashTracker:
-    """Own what this node knows of requests under which runners have ended.
-
-    A node whose call breaks looks whether the runner has ended, and tells the request's
-    homes: the first nodes in the order of its mark. They count, and tell all nodes once
-    several runners have ended under it. So an end costs one datagram a call and home,
-    whatever the fleet's size, and only a suspected request costs one a node. What is
-    lost on the way goes on by gossip; a node that starts takes the records over with
-    the rest of the state. Nothing here needs the store.
+    """Keeps this node's records of requests during which runners have crashed.
+
+    A node whose call breaks checks whether the runner has crashed, and reports it to
+    the request's home nodes, the first ones in the order of its digest. They count the
+    crashes, and notify all nodes once several runners have crashed under the request.
+    A crash thus costs one datagram per call and home node, whatever the size of the
+    fleet, and only a suspected request costs one per node. Records that are lost on the
+    way are repeated by gossip, and a node that starts gets them with the rest of the
+    state. The store is not needed.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         decisions: DecisionRing,
     ) -> None:
         self._records = records
-        self._link = connection_pool
+        self._connection_pool = connection_pool
         self._table = table
         self._homes = homes
         self._membership = membership
@@ -84,13 +86,13 @@
         self._tasks = tasks
         self._timers = timers
         self._decisions = decisions
-        self._broken: dict[str, list[BrokenCall]] = {}
-        self._next_note = 0
+        self._broken_calls: dict[str, list[BrokenCall]] = {}
+        self._next_note_index = 0
         socket.handle(CrashReport, self._receive_report)
         socket.handle(CrashNews, self._receive_news)
 
     def check(self, admitted: AdmittedCall) -> None:
-        """Raise ``RequestError`` for a request that is refused for now."""
+        """Raise ``RequestError`` if a call's request is currently refused."""
         left_ms = self.refused_for_ms(admitted)
         if not left_ms:
             return
@@ -114,44 +116,44 @@
         )
 
     def refused_for_ms(self, admitted: AdmittedCall) -> float:
-        """Return how much longer a call's request is refused; 0 if it may be sent."""
+        """Return for how many more milliseconds a call's request is refused, or 0."""
         if self._records.is_empty:
             return 0.0
         now_ms = self._timers.now_ms()
         return self._records.refused_for_ms(admitted.digest, now_ms=now_ms)
 
     def is_suspect(self, admitted: AdmittedCall) -> bool:
-        """Whether several runners have ended under a call's request."""
+        """Return whether several runners have crashed under a call's request."""
         return not self._records.is_empty and self._records.is_suspect(admitted.digest)
 
-    def key_apart(self, admitted: AdmittedCall) -> int | None:
-        """Return the key by which a suspected request finds a runner, else None.
+    def isolation_key(self, admitted: AdmittedCall) -> int | None:
+        """Return the key that routes a suspected request, or None for any other.
 
-        By its prompt it would go where those go who stood beside it before, and the
-        next end would count against all of them again.
+        Routed by its prompt, it would run beside the same requests as before, and the
+        next crash would count against all of them again.
         """
         if not self.is_suspect(admitted):
             return None
         return _key_of(admitted.digest)
 
-    def note_break(
+    def record_broken_call(
         self, admitted: AdmittedCall, runner: Runner, *, sent_ms: float
     ) -> None:
-        """Look into the break of a call at a runner that was not leaving."""
+        """Record a call that broke, and check its runner unless that is draining."""
         entry = self._table.get(runner.runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
-            # Its end was planned.
+            # A draining runner ends as planned.
             return
         if not self._table.is_current(runner):
             return
         call = BrokenCall(admitted.digest, sent_ms, self._timers.now_ms())
-        waiting = self._broken.setdefault(runner.lifetime, [])
-        waiting.append(call)
-        if len(waiting) == 1:
-            self._tasks.spawn(self._look_into(runner), name="look_into_break")
+        broken_calls = self._broken_calls.setdefault(runner.lifetime, [])
+        broken_calls.append(call)
+        if len(broken_calls) == 1:
+            self._tasks.spawn(self._probe_runner(runner), name="look_into_break")
 
-    def note_answer(self, admitted: AdmittedCall) -> None:
-        """Clear a call's request, which a runner has answered and lives."""
+    def record_response(self, admitted: AdmittedCall) -> None:
+        """Clear a call's request after a runner has answered it without crashing."""
         if self._records.is_empty:
             return
         digest = admitted.digest
@@ -159,64 +161,64 @@
         record = self._records.record_answer(digest, now_ms=now_ms)
         if record is not None:
             self._log(digest, record)
-            self._tell(digest, record)
+            self._broadcast(digest, record)
 
     def merge_notes(self, notes: Iterable[CrashNote]) -> list[CrashNote]:
-        """Take what a peer or the store knows; return what was news."""
-        return [note for note in notes if self._take(note)]
+        """Merge records from a peer or the store, and return those that were new."""
+        return [note for note in notes if self._merge_note(note)]
 
-    def tell_notes(self, notes: Iterable[CrashNote]) -> None:
-        """Take what the store held, and tell the other nodes what was news."""
+    def broadcast_notes(self, notes: Iterable[CrashNote]) -> None:
+        """Merge records from the store, and send the new ones to the other nodes."""
         for note in self.merge_notes(notes):
-            self._tell(note.digest, self._records.get(note.digest))
+            self._broadcast(note.digest, self._records.get(note.digest))
 
     def is_refused(self, digest: bytes) -> bool:
-        """Whether a request is refused now."""
+        """Return whether a request is currently refused."""
         now_ms = self._timers.now_ms()
         return self._records.refused_for_ms(digest, now_ms=now_ms) > 0
 
-    def refused_here(self) -> dict[bytes, CrashRecord]:
-        """Return the refused requests of which this node is the first home."""
+    def owned_refusals(self) -> dict[bytes, CrashRecord]:
+        """Return the refused requests whose first home node is this one."""
         if self._records.is_empty:
             return {}
-        own_id = self._membership.local_node.node_id
+        local_id = self._membership.local_node.node_id
         return {
             digest: record
             for digest, record in self._records.records_to_share()
             if self.is_refused(digest)
-            and self._homes.homes_of(_key_of(digest), max_nodes=1) == [own_id]
+            and self._homes.homes_of(_key_of(digest), max_nodes=1) == [local_id]
         }
 
     def newest_notes(self) -> list[CrashNote]:
-        """Return the records for a node that has just started, the newest first."""
+        """Return the newest records, newest first, for a node that has just started."""
         shared = sorted(
             self._records.records_to_share(), key=lambda known: -known[1].last_ms
         )
-        return [self._to_note(*known) for known in shared[:MOST_NOTES]]
+        return [self._to_note(*known) for known in shared[:MAX_SNAPSHOT_NOTES]]
 
     def next_gossip_notes(self) -> list[CrashNote]:
-        """Return some of the records, others each time."""
+        """Return the next few records in rotation, for one gossip message."""
         shared = list(self._records.records_to_share())
         if not shared:
             return []
-        start = self._next_note % len(shared)
-        self._next_note = start + NOTES_A_GOSSIP
-        turned = [*shared[start:], *shared[:start]]
-        return [self._to_note(*known) for known in islice(turned, NOTES_A_GOSSIP)]
+        start = self._next_note_index % len(shared)
+        self._next_note_index = start + NOTES_PER_GOSSIP
+        rotated = [*shared[start:], *shared[:start]]
+        return [self._to_note(*known) for known in islice(rotated, NOTES_PER_GOSSIP)]
 
     def drop_expired(self) -> None:
-        """Forget what has not happened again for long."""
+        """Drop the records of requests without a recent crash."""
         self._records.drop_expired(now_ms=self._timers.now_ms())
 
-    async def _look_into(self, runner: Runner) -> None:
-        """Report the calls that broke at a runner, if it has ended.
+    async def _probe_runner(self, runner: Runner) -> None:
+        """Report the calls that broke at a runner, if it has crashed.
 
-        Answers also break where a connection is reset or an answer is spoilt. That says
-        nothing of the request, and the runner goes on taking connections.
+        Calls also break when a connection is reset or a response is malformed. The
+        runner still accepts connections then, and the request is not suspected.
         """
-        await asyncio.sleep(LOOK_AFTER_MS / MS_PER_S)
-        is_listening = await self._link.is_listening(runner)
-        broken = self._broken.pop(runner.lifetime)
+        await asyncio.sleep(PROBE_DELAY_MS / MS_PER_S)
+        is_listening = await self._connection_pool.is_listening(runner)
+        broken = self._broken_calls.pop(runner.lifetime)
         if is_listening:
             return
         log_event(Event.RUNNER_ENDED, runner=runner.runner_id, calls=len(broken))
@@ -231,19 +233,19 @@
             round(now_ms - call.sent_ms),
             round(now_ms - call.broke_ms),
         )
-        own_id = self._membership.local_node.node_id
-        homes = self._homes.homes_of(_key_of(call.digest), max_nodes=HOMES_A_REQUEST)
+        local_id = self._membership.local_node.node_id
+        homes = self._homes.homes_of(_key_of(call.digest), max_nodes=HOMES_PER_REQUEST)
         for home_id in homes:
             home = self._membership.node(home_id)
-            if home_id == own_id:
-                self._take_report(report)
+            if home_id == local_id:
+                self._record_report(report)
             elif home is not None:
                 self._socket.send(PeerAddress.of(home), report)
 
     def _receive_report(self, received: PeerMessage) -> None:
-        self._take_report(received.message)
+        self._record_report(received.message)
 
-    def _take_report(self, report: CrashReport) -> None:
+    def _record_report(self, report: CrashReport) -> None:
         now_ms = self._timers.now_ms()
         record = self._records.record_crash(
             report.digest,
@@ -253,24 +255,24 @@
         )
         if record is not None:
             self._log(report.digest, record)
-            self._tell(report.digest, record)
+            self._broadcast(report.digest, record)
 
     def _receive_news(self, received: PeerMessage) -> None:
         self.merge_notes(received.message.crashes)
 
-    def _take(self, note: CrashNote) -> bool:
+    def _merge_note(self, note: CrashNote) -> bool:
         now_ms = self._timers.now_ms()
         record = CrashRecord(
             note.clears, note.crashes, tuple(note.runners), now_ms - note.age_ms
         )
-        is_news = self._records.merge(note.digest, record, now_ms=now_ms)
-        if is_news:
+        is_new = self._records.merge(note.digest, record, now_ms=now_ms)
+        if is_new:
             self._log(note.digest, record)
-        return is_news
+        return is_new
 
-    def _tell(self, digest: bytes, record: CrashRecord) -> None:
-        own = self._membership.local_node
-        peers = [PeerAddress.of(n) for n in self._membership.alive() if n != own]
+    def _broadcast(self, digest: bytes, record: CrashRecord) -> None:
+        local_node = self._membership.local_node
+        peers = [PeerAddress.of(n) for n in self._membership.alive() if n != local_node]
         self._socket.send_all(peers, CrashNews([self._to_note(digest, record)]))
 
     def _log(self, digest: bytes, record: CrashRecord) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/overdue_timer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/overdue_timer.py
@@ -1,4 +1,4 @@
-"""Report a runner whose answer is long overdue."""
+"""Reports a runner whose response is long overdue."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 MS_PER_S = 1000.0
 
 
-class OverdueAlarm:
-    """Go off once unless it is stopped in time or its block ends.
+class OverdueTimer:
+    """Calls ``on_overdue`` once, unless it is stopped or its block ends before.
 
-    A runner may take calls and never answer. Calls that may not be sent again wait out
-    their time there; without a word meanwhile the next ones follow them.
+    A runner may accept calls and never answer. Calls that may not be sent again wait
+    there until their deadline, and until the runner is reported more calls follow.
     """
 
-    def __init__(self, *, after_ms: float, call: Callable[[], None]) -> None:
+    def __init__(self, *, after_ms: float, on_overdue: Callable[[], None]) -> None:
         self._after_ms = after_ms
-        self._call = call
+        self._on_overdue = on_overdue
         self._timer: asyncio.TimerHandle | None = None
 
     def __enter__(self) -> Self:
-        """Begin to wait."""
+        """Start the timer."""
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._after_ms / MS_PER_S, self._call)
+        self._timer = loop.call_later(self._after_ms / MS_PER_S, self._on_overdue)
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """Stop waiting."""
+        """Cancel the timer."""
         self.stop()
 
     def stop(self) -> None:
-        """Stop waiting: the answer has come."""
+        """Cancel the timer when data has arrived."""
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
@@ -1,4 +1,4 @@
-"""What a runner's answer proves, and what it leaves open."""
+"""Checks whether a runner's response may be returned to the caller."""
 
 from __future__ import annotations
 
@@ -8,78 +8,78 @@
 
 from clementineyoke_core.edge.attempt_ledger import AttemptOutcome
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.runner_response import OpenAnswer, WholeAnswer
+from clementineyoke_node.edge.runner_response import CompleteResponse, OpenResponse
 
 if TYPE_CHECKING:
     from clementineyoke_core.edge.edge_call import EdgeCall
     from clementineyoke_core.runner import Runner
     from clementineyoke_node.platform.runner_codec import AnswerHead
 
-STATUS_ERROR = 500
-STATUS_REDIRECT = 300
-PROMISES = frozenset((408, 421, 429, 503))
-"""Statuses by which callers know that a call did not run and never will."""
+MIN_SERVER_ERROR_STATUS = 500
+MIN_REDIRECT_STATUS = 300
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that tell a caller that its call did not run and never will."""
 
 
-async def read_whole(answer: OpenAnswer, *, runner: Runner) -> WholeAnswer:
-    """Read an answer to its end; raises ``AttemptError`` when it ends early."""
+async def read_response(response: OpenResponse, *, runner: Runner) -> CompleteResponse:
+    """Read a response to its end; raises ``AttemptError`` if it is truncated."""
     try:
-        body = await answer.response.read()
+        body = await response.client_response.read()
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         raise AttemptError(
-            end=AttemptOutcome.LOST,
+            outcome=AttemptOutcome.LOST,
             step="read_body",
             peer=runner.runner_id,
             reason=repr(error),
-            is_break=not isinstance(error, TimeoutError),
+            is_connection_lost=not isinstance(error, TimeoutError),
         ) from error
-    return WholeAnswer(answer.head, body)
+    return CompleteResponse(response.head, body)
 
 
-def check_outcome(answer: WholeAnswer, *, runner: Runner) -> None:
-    """Raise ``AttemptError`` for an answer that is no success of the runner's."""
-    head = answer.head
+def check_outcome(response: CompleteResponse, *, runner: Runner) -> None:
+    """Raise ``AttemptError`` for a refusal, a failure or a success without proof."""
+    head = response.head
     if head.is_refusal:
         raise AttemptError(
-            end=AttemptOutcome.REFUSED,
+            outcome=AttemptOutcome.REFUSED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"refused with {head.status}",
         )
-    if head.status in PROMISES:
-        # Callers take these for "it did not run", which this runner has not said.
+    if head.status in NOT_RUN_STATUSES:
+        # Callers conclude that the call did not run, which the runner has not stated.
         raise AttemptError(
-            end=AttemptOutcome.FAILED,
+            outcome=AttemptOutcome.FAILED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"answered {head.status} without a word that it did not run",
         )
-    if head.status >= STATUS_ERROR:
+    if head.status >= MIN_SERVER_ERROR_STATUS:
         raise AttemptError(
-            end=AttemptOutcome.FAILED,
+            outcome=AttemptOutcome.FAILED,
             step="read_head",
             peer=runner.runner_id,
             reason=f"failed with {head.status}",
-            answer=answer if head.has_proof else None,
+            response=response if head.has_proof else None,
         )
-    if head.status < STATUS_REDIRECT and not head.has_proof:
+    if head.status < MIN_REDIRECT_STATUS and not head.has_proof:
         raise AttemptError(
-            end=AttemptOutcome.LOST,
+            outcome=AttemptOutcome.LOST,
             step="check_proof",
             peer=runner.runner_id,
             reason="a success without the runner's proof",
         )
 
 
-def check_echo(runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
-    """Raise ``AttemptError`` for an answer that is another call's."""
+def check_call_id(runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
+    """Raise ``AttemptError`` for a response that carries another call's id."""
     if head.call_id == call.call_id:
         return
     if head.is_refusal and not head.call_id:
         return
-    # A runner that crosses answers would hand one caller's answer to another.
+    # A runner that mixes up responses would give one caller another's response.
     raise AttemptError(
-        end=AttemptOutcome.LOST,
+        outcome=AttemptOutcome.LOST,
         step="check_echo",
         peer=runner.runner_id,
         reason=f"the answer is for call {head.call_id!r}",
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
@@ -1,4 +1,4 @@
-"""Exchanges with runners: one call on one connection, and what its answer proves."""
+"""Sends calls to runners over pooled HTTP connections and validates the responses."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from clementineyoke_core.edge.idle_connection_policy import IdleConnectionPolicy
 from clementineyoke_node.edge.address_lifetimes import AddressLifetimes
 from clementineyoke_node.edge.attempt_error import AttemptError
-from clementineyoke_node.edge.response_checks import check_echo
+from clementineyoke_node.edge.response_checks import check_call_id
 from clementineyoke_node.edge.runner_protocol import make_connector
-from clementineyoke_node.edge.runner_response import OpenAnswer
+from clementineyoke_node.edge.runner_response import OpenResponse
 from clementineyoke_node.platform.runner_codec import (
     RunnerOrder,
     decode_head,
@@ -30,46 +30,46 @@
     from clementineyoke_core.edge.edge_call import EdgeCall
     from clementineyoke_core.runner import Runner
     from clementineyoke_node.edge.runner_signals import RunnerSignals
-    from clementineyoke_node.edge.runner_timeout import RunnerWait
+    from clementineyoke_node.edge.runner_timeout import RunnerTimeout
     from clementineyoke_node.timers.timer_service import TimerService
 
 MS_PER_S = 1000.0
 CONNECT_TIMEOUT_MS = 120
-"""A runner takes a connection within 2 ms, another region's within 45; a dark one never
-does. A call that is to be answered within 500 ms can meet a dark runner and still be in
-time at the next."""
-LARGEST_HEAD_BYTES = 32_768
-_OWN_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-"""What aiohttp would add by itself: the runner gets the caller's headers only."""
+"""Runners accept a connection within 2 ms, those of another region within 45 ms. A call
+with a latency objective of 500 ms can time out at an unreachable runner and still be
+answered in time by the next one."""
+MAX_HEAD_BYTES = 32_768
+_SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+"""Headers that aiohttp adds by default: the runner gets only those of the caller."""
 
 
-class ConnectionUse:
-    """What one exchange learns of its connection."""
+class ConnectionTrace:
+    """Records whether a request was sent on a reused connection."""
 
     def __init__(self) -> None:
-        self.has_rested = False
-        """Whether the connection had carried another call before and was kept."""
+        self.is_reused = False
+        """Whether the connection was kept alive after an earlier call."""
 
 
 class RunnerConnectionPool:
-    """Own the connections to runners."""
+    """Owns the connections to runners, and sends calls on them."""
 
     def __init__(self, *, timers: TimerService, signals: RunnerSignals) -> None:
         self._timers = timers
         self._signals = signals
-        self._trust = IdleConnectionPolicy()
-        self._tenure = AddressLifetimes()
+        self._idle_policy = IdleConnectionPolicy()
+        self._address_lifetimes = AddressLifetimes()
         self._stack = AsyncExitStack()
-        self._kept: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._keepalive_session: aiohttp.ClientSession | None = None
+        self._single_use_session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Self:
-        """Open the pool of kept connections, and the way to make new ones."""
-        self._kept = await self._stack.enter_async_context(
-            _make_session(is_kept=True, tenure=self._tenure)
+        """Open the sessions for kept-alive and for single-use connections."""
+        self._keepalive_session = await self._stack.enter_async_context(
+            _make_session(keeps_alive=True, address_lifetimes=self._address_lifetimes)
         )
-        self._fresh = await self._stack.enter_async_context(
-            _make_session(is_kept=False, tenure=self._tenure)
+        self._single_use_session = await self._stack.enter_async_context(
+            _make_session(keeps_alive=False, address_lifetimes=self._address_lifetimes)
         )
         return self
 
@@ -78,45 +78,50 @@
         await self._stack.aclose()
 
     @asynccontextmanager
-    async def open(
+    async def send(
         self,
         runner: Runner,
         call: EdgeCall,
         order: RunnerOrder,
         *,
-        wait: RunnerWait,
+        runner_timeout: RunnerTimeout,
         may_repeat: bool,
-    ) -> AsyncIterator[OpenAnswer]:
-        """Send a call and yield its answer's head; raises ``AttemptError``.
+    ) -> AsyncIterator[OpenResponse]:
+        """Send a call and yield its response once the head has arrived.
 
-        A connection whose answer was not read to its end is closed, so that the rest
-        can never meet another call.
+        A connection whose response was not read to its end is closed, so that the rest
+        can never be read as the response to another call. Raises ``AttemptError`` when
+        there is no connection, no head within ``runner_timeout``, or the head belongs
+        to another call.
         """
-        self._tenure.record(
+        self._address_lifetimes.record(
             runner.address,
             runner.port,
             lifetime=runner.lifetime,
             now_s=asyncio.get_running_loop().time(),
         )
-        session = self._session_for(runner, may_repeat=may_repeat)
-        response = await self._send(session, runner, call, order, wait=wait)
-        is_whole = False
+        session = self._choose_session(runner, may_repeat=may_repeat)
+        response = await self._request(
+            session, runner, call, order, runner_timeout=runner_timeout
+        )
+        is_complete = False
         try:
             head = decode_head(response.status, response.headers)
-            self._signals.observe(runner, call, head)
-            check_echo(runner, call, head)
-            yield OpenAnswer(head, response)
-            is_whole = response.content.at_eof()
+            self._signals.apply(runner, call, head)
+            check_call_id(runner, call, head)
+            yield OpenResponse(head, response)
+            is_complete = response.content.at_eof()
         finally:
-            if is_whole:
+            if is_complete:
                 response.release()
             else:
                 response.close()
 
     async def is_listening(self, runner: Runner) -> bool:
-        """Whether a runner takes connections, by trying one.
+        """Return whether a runner accepts connections, by opening one.
 
-        Whatever does not say that nobody is there counts as a runner that lives.
+        Only a refused connection or a timeout counts as "not listening"; any other
+        error leaves the runner's state open, and it is taken to be alive.
         """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / MS_PER_S):
@@ -129,33 +134,39 @@
         writer.close()
         return True
 
-    def _session_for(
+    def _choose_session(
         self, runner: Runner, *, may_repeat: bool
     ) -> aiohttp.ClientSession:
-        is_trusted = self._trust.may_reuse(runner.pool, now_ms=self._timers.now_ms())
-        session = self._kept if may_repeat or is_trusted else self._fresh
+        may_reuse = self._idle_policy.may_reuse(
+            runner.pool, now_ms=self._timers.now_ms()
+        )
+        session = (
+            self._keepalive_session
+            if may_repeat or may_reuse
+            else self._single_use_session
+        )
         if session is None:
-            message = "the runner link is closed"
+            message = "the runner connection pool is closed"
             raise RuntimeError(message)
         return session
 
-    async def _send(
+    async def _request(
         self,
         session: aiohttp.ClientSession,
         runner: Runner,
         call: EdgeCall,
         order: RunnerOrder,
         *,
-        wait: RunnerWait,
+        runner_timeout: RunnerTimeout,
     ) -> aiohttp.ClientResponse:
-        use = ConnectionUse()
+        trace = ConnectionTrace()
         url = URL(f"http://{runner.address}:{runner.port}{call.target}", encoded=True)
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=CONNECT_TIMEOUT_MS / MS_PER_S,
         )
         try:
-            async with wait.bounded():
+            async with runner_timeout.enforce():
                 return await session.request(
                     call.method,
                     url,
@@ -163,29 +174,29 @@
                     data=call.body or None,
                     timeout=timeout,
                     allow_redirects=False,
-                    trace_request_ctx=use,
+                    trace_request_ctx=trace,
                 )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise AttemptError(
-                end=AttemptOutcome.NOT_SENT,
+                outcome=AttemptOutcome.NOT_SENT,
                 step="connect",
                 peer=runner.runner_id,
                 reason=repr(error),
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            is_break = not isinstance(error, TimeoutError)
-            if use.has_rested and is_break:
-                self._note_idle_loss(runner, call)
+            is_connection_lost = not isinstance(error, TimeoutError)
+            if trace.is_reused and is_connection_lost:
+                self._record_idle_loss(runner, call)
             raise AttemptError(
-                end=AttemptOutcome.LOST,
+                outcome=AttemptOutcome.LOST,
                 step="read_head",
                 peer=runner.runner_id,
                 reason=repr(error),
-                is_break=is_break,
+                is_connection_lost=is_connection_lost,
             ) from error
 
-    def _note_idle_loss(self, runner: Runner, call: EdgeCall) -> None:
-        if self._trust.record_loss(runner.pool, now_ms=self._timers.now_ms()):
+    def _record_idle_loss(self, runner: Runner, call: EdgeCall) -> None:
+        if self._idle_policy.record_loss(runner.pool, now_ms=self._timers.now_ms()):
             log_event(
                 Event.IDLE_LOST,
                 request_id=call.call_id,
@@ -194,32 +205,36 @@
             )
 
 
-def _make_session(*, is_kept: bool, tenure: AddressLifetimes) -> aiohttp.ClientSession:
+def _make_session(
+    *, keeps_alive: bool, address_lifetimes: AddressLifetimes
+) -> aiohttp.ClientSession:
     session = aiohttp.ClientSession(
         connector=make_connector(
-            asyncio.get_running_loop(), is_kept=is_kept, tenure=tenure
+            asyncio.get_running_loop(),
+            keeps_alive=keeps_alive,
+            address_lifetimes=address_lifetimes,
         ),
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        skip_auto_headers=_OWN_HEADERS,
-        max_line_size=LARGEST_HEAD_BYTES,
-        max_field_size=LARGEST_HEAD_BYTES,
-        trace_configs=[_trace_use()],
+        skip_auto_headers=_SKIPPED_AUTO_HEADERS,
+        max_line_size=MAX_HEAD_BYTES,
+        max_field_size=MAX_HEAD_BYTES,
+        trace_configs=[_trace_reuse()],
     )
-    # aiohttp sends some methods a second time by itself when a kept connection
-    # breaks: a call that may not be repeated would run twice.
+    # aiohttp retries idempotent HTTP methods when a kept-alive connection breaks: a
+    # call that may not be repeated would run twice.
     session._retry_connection = False
     return session
 
 
-def _trace_use() -> aiohttp.TraceConfig:
-    async def note_reuse(
+def _trace_reuse() -> aiohttp.TraceConfig:
+    async def record_reuse(
         session: aiohttp.ClientSession,
         context: SimpleNamespace,
         params: aiohttp.TraceConnectionReuseconnParams,
     ) -> None:
-        context.trace_request_ctx.has_rested = True
+        context.trace_request_ctx.is_reused = True
 
     trace = aiohttp.TraceConfig()
-    trace.on_connection_reuseconn.append(note_reuse)
+    trace.on_connection_reuseconn.append(record_reuse)
     return trace
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
@@ -1,4 +1,4 @@
-"""aiohttp's client protocol, made strict about what ends an answer."""
+"""An aiohttp client protocol that detects truncated and unrequested responses."""
 
 from __future__ import annotations
 
@@ -18,55 +18,57 @@
 
     from clementineyoke_node.edge.address_lifetimes import AddressLifetimes
 
-IDLE_KEPT_S = 4.0
-"""Runners close idle connections after a time that they may not state; a call that
-crosses their close is lost, so a connection is not kept for long."""
-IDLE_MARGIN_S = 0.2
-"""A runner that says how long it keeps idle connections is taken to close them so much
-sooner: a call takes time to reach it."""
+MAX_IDLE_S = 4.0
+"""Runners close idle connections after a time that they need not announce. A call that
+is sent while its connection is being closed is lost, so idle connections are kept only
+for a short time."""
+KEEP_ALIVE_MARGIN_S = 0.2
+"""Deducted from the idle timeout that a runner announces: a call takes time to reach
+it."""
 _KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout\s*=\s*(\d{1,6})\b", re.IGNORECASE)
 
 
 class RunnerProtocol(ResponseHandler):
-    """Notice resets in answers without a length, and bytes that nobody asked for."""
+    """Detects resets in responses without a length, and data that was not requested."""
 
     def __init__(
-        self, *, loop: asyncio.AbstractEventLoop, tenure: AddressLifetimes
+        self, *, loop: asyncio.AbstractEventLoop, address_lifetimes: AddressLifetimes
     ) -> None:
         super().__init__(loop=loop)
-        self._tenure = tenure
+        self._address_lifetimes = address_lifetimes
         self._peer: tuple[str, int] = ("", 0)
-        self._made_s = 0.0
-        self._heard_s = 0.0
-        self._idle_kept_s = IDLE_KEPT_S
+        self._connected_s = 0.0
+        self._last_received_s = 0.0
+        self._max_idle_s = MAX_IDLE_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note to whom the connection leads, and since when."""
+        """Record the peer's address and the time of the connection."""
         super().connection_made(transport)
-        # There is no peer's name if the runner has closed the connection by now.
+        # The peer name is missing if the runner has already closed the connection.
         address, port = transport.get_extra_info("peername") or self._peer
         self._peer = (address, port)
-        self._made_s = self._heard_s = self._loop.time()
+        self._connected_s = self._last_received_s = self._loop.time()
 
     def data_received(self, data: bytes) -> None:
-        """Note since when the connection may have rested."""
-        self._heard_s = self._loop.time()
+        """Record when the connection was last active."""
+        self._last_received_s = self._loop.time()
         super().data_received(data)
 
     def feed_data(
         self, data: tuple[RawResponseMessage, StreamReader], size: int = 0
     ) -> None:
-        """Take an answer's head, which may say how long its connection is kept."""
-        said = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
-        if said is not None:
-            self._idle_kept_s = min(IDLE_KEPT_S, int(said[1]) - IDLE_MARGIN_S)
+        """Apply the idle timeout in the response's ``Keep-Alive`` header, if any."""
+        timeout = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
+        if timeout is not None:
+            self._max_idle_s = min(MAX_IDLE_S, int(timeout[1]) - KEEP_ALIVE_MARGIN_S)
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail an answer that was reset.
+        """Fail a response that was reset.
 
-        An answer without a length ends with its connection. aiohttp takes any end of
-        the connection for the answer's end: a reset would pass a part off as a whole.
+        A response without a length ends with its connection. aiohttp accepts any end of
+        the connection as the end of such a response: one that was truncated by a reset
+        would pass as complete.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
@@ -74,26 +76,35 @@
         super().connection_lost(exc)
 
     def is_connected(self) -> bool:
-        """Tell whether the connection may carry one more call.
+        """Return whether the connection may be used for another call.
 
-        A runner may send a second answer late. Kept for the next call, it would be
-        read as that call's answer, seen as a caller with another caller's answer.
+        A runner may send a second, late response. If its connection were reused, the
+        next call would read it, and one caller would get another caller's response.
         """
-        has_stray = self._buffer or self._tail or self._exception is not None
+        has_unread_data = self._buffer or self._tail or self._exception is not None
         address, port = self._peer
-        is_of_tenant = self._tenure.is_current(address, port, connected_s=self._made_s)
-        is_kept = self._loop.time() < self._heard_s + self._idle_kept_s
-        return super().is_connected() and is_of_tenant and is_kept and not has_stray
+        is_current = self._address_lifetimes.is_current(
+            address, port, connected_s=self._connected_s
+        )
+        is_fresh = self._loop.time() < self._last_received_s + self._max_idle_s
+        return (
+            super().is_connected() and is_current and is_fresh and not has_unread_data
+        )
 
 
 def make_connector(
-    loop: asyncio.AbstractEventLoop, *, is_kept: bool, tenure: AddressLifetimes
+    loop: asyncio.AbstractEventLoop,
+    *,
+    keeps_alive: bool,
+    address_lifetimes: AddressLifetimes,
 ) -> TCPConnector:
-    """Return a pool of connections to runners, or one that keeps none."""
-    keeping = {"keepalive_timeout": IDLE_KEPT_S} if is_kept else {"force_close": True}
-    connector = TCPConnector(limit=0, socket_factory=open_socket, **keeping)
-    # aiohttp has no public way to name the protocol class of a connector.
+    """Return a connector to runners that keeps idle connections, or closes each one."""
+    options = (
+        {"keepalive_timeout": MAX_IDLE_S} if keeps_alive else {"force_close": True}
+    )
+    connector = TCPConnector(limit=0, socket_factory=open_socket, **options)
+    # aiohttp has no public way to set the protocol class of a connector.
     connector._factory = lambda: RunnerProtocol(  # type: ignore[assignment]
-        loop=loop, tenure=tenure
+        loop=loop, address_lifetimes=address_lifetimes
     )
     return connector
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_response.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_response.py
@@ -1,4 +1,4 @@
-"""What a runner answered: the head alone, or the whole answer."""
+"""Responses of runners: with an unread body, or complete."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     from clementineyoke_node.platform.runner_codec import AnswerHead
 
 
-class OpenAnswer(NamedTuple):
-    """An answer whose head has come."""
+class OpenResponse(NamedTuple):
+    """A response whose head has arrived and whose body has not been read."""
 
     head: AnswerHead
-    response: aiohttp.ClientResponse
+    client_response: aiohttp.ClientResponse
 
 
-class WholeAnswer(NamedTuple):
-    """An answer that came whole."""
+class CompleteResponse(NamedTuple):
+    """A response that was read to its end."""
 
     head: AnswerHead
     body: bytes
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_signals.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_signals.py
@@ -1,4 +1,4 @@
-"""Signals about themselves that runners send in their answers."""
+"""Applies the drain and backoff signals that runners send in their responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RunnerSignals:
-    """Apply what the head of each answer signals about its runner."""
+    """Applies the drain and backoff signals in the head of each response."""
 
     def __init__(
         self,
@@ -28,14 +28,14 @@
         decisions: DecisionRing,
         on_draining: Callable[[Runner], bool],
     ) -> None:
-        """Take the parts; ``on_draining`` returns whether the drain is news."""
+        """Create the handler; ``on_draining`` returns whether the drain was unknown."""
         self._table = table
         self._timers = timers
         self._decisions = decisions
         self._on_draining = on_draining
 
-    def observe(self, runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
-        """Apply the signals of an answer, a refusal or the beginning of a stream."""
+    def apply(self, runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
+        """Apply the signals in the head of a response, refusal or stream."""
         if head.is_draining and self._on_draining(runner):
             self._decisions.record(
                 Event.RUNNER_DRAINING,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_timeout.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_timeout.py
@@ -1,4 +1,4 @@
-"""How long one attempt waits for its runner, and what may end the wait sooner."""
+"""Soft and hard timeout of one wait for a runner."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
     from collections.abc import AsyncIterator, Callable
 
 MS_PER_S = 1000.0
-LEAST_WAIT_MS = 1.0
+MIN_TIMEOUT_MS = 1.0
 
 
-class RunnerWait(NamedTuple):
-    """The bounds of a wait for a runner's next sign of life."""
+class RunnerTimeout(NamedTuple):
+    """The timeouts of a wait for the next data from a runner."""
 
-    patience_ms: float
-    """After this the runner is given up if another one may be tried."""
-    longest_ms: float
-    """After this it is given up whatever may follow."""
-    may_go_on: Callable[[], bool]
-    """Whether another runner may be tried now."""
+    soft_timeout_ms: float
+    """After this the runner is abandoned if ``may_retry`` returns true."""
+    hard_timeout_ms: float
+    """After this the runner is abandoned in any case."""
+    may_retry: Callable[[], bool]
+    """Returns whether another runner may be tried now."""
 
     @asynccontextmanager
-    async def bounded(self) -> AsyncIterator[None]:
-        """End the block with ``TimeoutError`` when the runner is given up.
+    async def enforce(self) -> AsyncIterator[None]:
+        """Raise ``TimeoutError`` in the block when the runner is abandoned.
 
-        Whether another runner may be tried is asked when patience ends, not before:
-        what is left of the retry budget changes while the runner is silent.
+        ``may_retry`` is called when the soft timeout expires, not before: what is left
+        of the retry budget changes while the runner is silent.
         """
         loop = asyncio.get_running_loop()
-        longest_ms = max(LEAST_WAIT_MS, self.longest_ms)
-        async with asyncio.timeout(longest_ms / MS_PER_S) as scope:
+        timeout_ms = max(MIN_TIMEOUT_MS, self.hard_timeout_ms)
+        async with asyncio.timeout(timeout_ms / MS_PER_S) as scope:
 
-            def end_patience() -> None:
-                if self.may_go_on():
+            def on_soft_timeout() -> None:
+                if self.may_retry():
                     scope.reschedule(loop.time())
 
-            if self.patience_ms >= longest_ms:
+            if self.soft_timeout_ms >= timeout_ms:
                 yield
                 return
-            timer = loop.call_later(self.patience_ms / MS_PER_S, end_patience)
+            timer = loop.call_later(self.soft_timeout_ms / MS_PER_S, on_soft_timeout)
             try:
                 yield
             finally:
--- a/packages/clementineyoke-node/tests/edge/cold_runners.feature
+++ b/packages/clementineyoke-node/tests/edge/cold_runners.feature
@@ -1,42 +1,40 @@
 Feature: Cold runners get no more than they bear
 
-  A runner bears 4 calls a second while it is cold; it ends at half as much again and five
-  calls more.
+  A cold runner is rated for 4 calls a second. It crashes above 1.5 times that rate plus
+  5 calls.
 
   Scenario: A surge meets runners that have just started
-    # Symptom: runners end a second after their start, with all calls on them.
-    # Sequence: two runners start during a surge; each gets its share of all calls.
-    # Cause: slots were counted, and not the calls of a second.
+    # Two runners start during a surge. If only slots are limited, not calls a second, each
+    # gets its full share of all calls and crashes within a second, with all calls on it.
     Given a fleet of 2 nodes and 3 runners, of which 2 have just started
-    When 120 calls come within a second
-    Then no runner has ended
-    And a cold runner got no more than 5 calls in any second
+    When 120 calls arrive within a second
+    Then no runner has crashed
+    And a cold runner received no more than 5 calls in any second
     And most of the calls are answered
 
   Scenario: All runners of a pool are cold
-    # Symptom: all runners of a pool end one after the other, again and again.
-    # Sequence: a release or a zone's return leaves only cold runners; everybody comes.
-    # Cause: the last ask of a search was granted whatever the runner bore.
+    # A release or a zone's return leaves only cold runners. If the last slot request of a
+    # search is granted whatever the runner's rate, they crash one after the other, again
+    # and again.
     Given a fleet of 1 node and 2 runners, of which 2 have just started
-    When 60 calls come within a second
-    Then no runner has ended
-    And those that are refused have not run and are told when to return
+    When 60 calls arrive within a second
+    Then no runner has crashed
+    And refused calls have not run and carry a Retry-After
 
-  Scenario: A cold runner's home does not answer
-    # Symptom: a cold runner ends though its home counts well.
-    # Sequence: the home hangs; each node sends there on its own after 25 ms.
-    # Cause: the last choice without a home did not look whether the runner is cold.
+  Scenario: The home node of a cold runner does not respond
+    # The home node counts the calls but hangs, and after 25 ms each node chooses without
+    # it. If that choice ignores that the runner is cold, the runner crashes.
     Given a fleet of 2 nodes and 1 runner, of which 1 has just started
-    When the runner's home falls silent and 40 calls come at the other node
-    Then no runner has ended
+    When the runner's home node stops responding and 40 calls arrive at the other node
+    Then no runner has crashed
 
-  Scenario: An operator asks why a chat was sent elsewhere
+  Scenario: The explanation of a call names a cold runner that was passed over
     Given a fleet of 1 node and 2 runners, of which 1 have just started
-    When 30 calls come within a second
+    When 30 calls arrive within a second
     Then the decision on one of them names the cold runner that was passed over
 
-  Scenario: A runner turns warm
+  Scenario: Runners warm up
     Given a fleet of 1 node and 2 runners, of which 2 have just started
-    When the runners say that they are warm
-    And 60 calls come within a second
+    When the runners report that they are warm
+    And 60 calls arrive within a second
     Then most of the calls are answered
--- a/packages/clementineyoke-node/tests/edge/runner_signals.feature
+++ b/packages/clementineyoke-node/tests/edge/runner_signals.feature
@@ -1,7 +1,7 @@
-Feature: Signals of runners in their answers
+Feature: Signals that runners send in their responses
 
-  Scenario Outline: The head of an answer
-    When the head of an answer has status <status> and "<fields>"
+  Scenario Outline: The head of a response
+    When the head of a response has status <status> and "<fields>"
     Then its runner is <state> and asks for <backoff> ms of backoff
 
     Examples:
@@ -19,35 +19,35 @@
       | 503    | Retry-After: nan               | staying  | 0       |
       | 503    | Retry-After: inf               | staying  | 3600000 |
 
-  Scenario Outline: An operator asks what a call's runner signalled
-    # Guards against decisions that cannot be explained by the runner's signal.
+  Scenario Outline: The explanation of a call shows what its runner signalled
+    # A decision that follows from a runner's signal must be explained by that signal.
     Given a fleet of 1 node and 1 runner
-    And runner 1 <says>
+    And runner 1 <signal>
     When a caller makes a "non_idempotent" call with the id "asked-for"
-    Then the decisions on "asked-for" hold "<event>"
+    Then the decisions on "asked-for" include "<event>"
 
     Examples:
-      | says                                         | event          |
-      | signals in its answers that it drains           | runner_draining |
-      | refuses all calls with a backoff of 3 s   | runner_backoff |
+      | signal                                       | event           |
+      | announces in its responses that it drains    | runner_draining |
+      | refuses all calls with a backoff of 3 s      | runner_backoff  |
 
-  Scenario: A runner drains while the store is away
-    # Guards against new work on a runner whose answers alone signal its drain.
+  Scenario: A runner drains while the store is unavailable
+    # Without the store only a runner's own responses announce its drain.
     Given a fleet of 1 node and 2 runners
-    When the store goes silent
-    And runner 1 signals in its answers that it drains
-    And 40 calls come at node 1 until runner 1 has answered
-    And 40 more calls come at node 1
+    When the store stops responding
+    And runner 1 announces in its responses that it drains
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And 40 more calls arrive at node 1
     Then none of those reached runner 1
     And all of them are answered
 
-  Scenario Outline: Any answer may signal that its runner drains
-    # Guards against a status whose headers are not read.
+  Scenario Outline: Any response may announce that its runner drains
+    # A drain is missed if the headers of some responses are not examined.
     Given a fleet of 1 node and 2 runners
-    When runner 1 signals in its answers that it drains
+    When runner 1 announces in its responses that it drains
     And runner 1 answers each call as "<act>"
-    And 40 calls come at node 1 until runner 1 has answered
-    And 40 more calls come at node 1
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And 40 more calls arrive at node 1
     Then none of those reached runner 1
 
     Examples:
@@ -57,104 +57,104 @@
       | refuse  |
       | crossed |
 
-  Scenario: A stream is under way on a draining runner
-    # Guards against a drain that cuts what runs.
+  Scenario: A stream is in progress on a draining runner
+    # A drain must not cut what is already running.
     Given a fleet of 1 node and 1 runner
     And the runners stream slowly
-    And runner 1 signals in its answers that it drains
+    And runner 1 announces in its responses that it drains
     When a caller makes a "streaming" call
     Then the caller gets the events 1 to 6, each once and whole
 
-  Scenario: Other nodes are told
-    # Guards against each node that must meet the draining runner by itself.
-    Given a fleet of 2 nodes and 2 runners that know of one another
-    When the store goes silent
-    And runner 1 signals in its answers that it drains
-    And 40 calls come at node 1 until runner 1 has answered
+  Scenario: Other nodes are notified of a drain
+    # Without a notification each node sends calls to the runner until it sees the signal.
+    Given a fleet of 2 nodes and 2 runners that know each other
+    When the store stops responding
+    And runner 1 announces in its responses that it drains
+    And up to 40 calls arrive at node 1 until runner 1 has answered
     Then node 2 knows within 1 s that runner 1 drains
-    When 40 more calls come at node 2
+    When 40 more calls arrive at node 2
     Then none of those reached runner 1
 
-  Scenario: The home of a draining runner is in another zone
-    # Guards against grants by a home that only its zone's news could tell.
-    Given a fleet of 2 nodes in "east" and "west" and 2 runners that know of one another
-    When the store goes silent
-    And runner 1 signals in its answers that it drains
-    And 40 calls come where runner 1 has no home until it has answered
+  Scenario: The home node of a draining runner is in another zone
+    # A notification within the observer's zone only leaves the home node granting slots.
+    Given a fleet of 2 nodes in "east" and "west" and 2 runners that know each other
+    When the store stops responding
+    And runner 1 announces in its responses that it drains
+    And up to 40 calls arrive at the node that is not runner 1's home until it has answered
     Then all nodes know within 1 s that runner 1 drains
 
-  Scenario: A node starts while the store is away
-    # Guards against a drain that a node's start forgets.
+  Scenario: A node starts while the store is unavailable
+    # A node that starts must learn of a drain that is not in the store.
     Given a fleet of 1 node and 2 runners
-    When the store goes silent
-    And runner 1 signals in its answers that it drains
-    And 40 calls come at node 1 until runner 1 has answered
+    When the store stops responding
+    And runner 1 announces in its responses that it drains
+    And up to 40 calls arrive at node 1 until runner 1 has answered
     And node 2 starts
-    And 40 more calls come at node 2
+    And 40 more calls arrive at node 2
     Then none of those reached runner 1
 
-  Scenario: A runner refuses and asks to back off
-    # Guards against calls to a runner within the backoff that it asked for.
+  Scenario: A runner refuses calls and asks for backoff
+    # No call may go to a runner within the backoff that it asked for.
     Given a fleet of 1 node and 2 runners
     When runner 1 refuses all calls with a backoff of 20 s
-    And 40 calls come at node 1 until runner 1 has answered
-    And 40 more calls come at node 1
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And 40 more calls arrive at node 1
     Then none of those reached runner 1
     And all of them are answered
 
-  Scenario: A second try after a refusal with a backoff
+  Scenario: A call is retried after a refusal with a backoff
     Given a fleet of 1 node and 2 runners
     When runner 1 refuses all calls with a backoff of 20 s
-    And 40 "idempotent" calls come at node 1
+    And 40 "idempotent" calls arrive at node 1
     Then all of them are answered
-    And runner 1 saw 1 call
+    And runner 1 received 1 call
 
-  Scenario: The backoff is over
+  Scenario: The backoff has passed
     Given a fleet of 1 node and 2 runners
     When runner 1 refuses all calls with a backoff of 0.4 s
-    And 40 calls come at node 1 until runner 1 has answered
+    And up to 40 calls arrive at node 1 until runner 1 has answered
     And runner 1 answers each call as "ok" and its backoff has passed
-    And 40 more calls come at node 1
+    And 40 more calls arrive at node 1
     Then some of those reached runner 1
 
-  Scenario: All runners of a pool ask to back off
-    # Guards against calls pressed on such runners, and callers that wait in vain.
+  Scenario: All runners of a pool ask for backoff
+    # Calls must not be forced on such runners, and callers must not wait for one in vain.
     Given a fleet of 1 node and 2 runners
     When runner 1 refuses all calls with a backoff of 20 s
     And runner 2 refuses all calls with a backoff of 10 s
-    And 40 calls come at node 1 until runner 1 has answered
-    And 40 calls come at node 1 until runner 2 has answered
-    And 10 more calls come at node 1
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And up to 40 calls arrive at node 1 until runner 2 has answered
+    And 10 more calls arrive at node 1
     Then none of those reached runner 1
     And none of those reached runner 2
-    And each is refused as not run within 0.2 s, to return after 9 s to 11 s
+    And each is refused as not run within 0.2 s, with a Retry-After of 9 s to 11 s
 
-  Scenario: The runner's entry ends and returns within the backoff
-    # Guards against a backoff that a change of the list forgets.
+  Scenario: A runner's entry is removed and added again within the backoff
+    # A change of the runner list must not discard the backoff.
     Given a fleet of 1 node and 2 runners
     When runner 1 refuses all calls with a backoff of 20 s
-    And 40 calls come at node 1 until runner 1 has answered
-    And the entry of runner 1 ends and returns
-    And 40 more calls come at node 1
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And the entry of runner 1 is removed and added again
+    And 40 more calls arrive at node 1
     Then none of those reached runner 1
 
-  Scenario: A backoff binds the node that was refused
-    Given a fleet of 2 nodes and 2 runners that know of one another
+  Scenario: A backoff applies to the node that was refused
+    Given a fleet of 2 nodes and 2 runners that know each other
     When runner 1 refuses all calls with a backoff of 20 s
-    And 40 calls come at node 1 until runner 1 has answered
+    And up to 40 calls arrive at node 1 until runner 1 has answered
     And runner 1 answers each call as "ok"
-    And 40 more calls come at node 2
+    And 40 more calls arrive at node 2
     Then some of those reached runner 1
 
-  Scenario Outline: An operator asks why a call went elsewhere
-    # Guards against calls that pass over a runner without a word.
+  Scenario Outline: The explanation of a call names a runner that was passed over
+    # Passing over a runner without recording it leaves the choice unexplained.
     Given a fleet of 1 node and 2 runners
-    When runner 1 <says>
-    And 40 calls come at node 1 until runner 1 has answered
-    And 20 more calls come at node 1
-    Then the decision on one of those names runner 1 as <why>
+    When runner 1 <signal>
+    And up to 40 calls arrive at node 1 until runner 1 has answered
+    And 20 more calls arrive at node 1
+    Then the decision on one of those names runner 1 as <reason>
 
     Examples:
-      | says                                        | why      |
-      | signals in its answers that it drains          | draining |
-      | refuses all calls with a backoff of 20 s | backoff  |
+      | signal                                    | reason   |
+      | announces in its responses that it drains | draining |
+      | refuses all calls with a backoff of 20 s  | backoff  |
--- a/packages/clementineyoke-node/tests/edge/streams.feature
+++ b/packages/clementineyoke-node/tests/edge/streams.feature
@@ -1,46 +1,41 @@
-Feature: Event streams through a node on the platform
+Feature: Event streams forwarded by a node
 
-  Scenario: A stream that may be resumed breaks within an event
-    # Symptom: a stream has a torn event, a gap or an event twice.
-    # Sequence: its runner dies in the middle of an event.
-    # Cause: bytes were handed on as they came, and the second run began anew.
+  Scenario: A resumable stream breaks within an event
+    # The runner dies in the middle of an event. Passing bytes on as they arrive, or
+    # starting the second runner from the beginning, tears, loses or repeats an event.
     Given a fleet of 1 node and 2 runners
     And the runners stream
     And the next call is answered as "cut"
     When a caller makes a "streaming" call
     Then the caller gets the events 1 to 6, each once and whole
-    And the runners saw 2 calls
-    And the second runner was told the last event that the caller has
+    And the runners received 2 calls
+    And the second runner received the id of the last event that the caller has
 
-  Scenario: A runner takes a stream and says nothing
+  Scenario: A runner accepts a stream and sends nothing
     Given a fleet of 1 node and 2 runners
     And the runners stream
     And the next call is answered as "hang"
     When a caller makes a "streaming" call
     Then the caller gets the events 1 to 6, each once and whole
 
-  Scenario: A stream that may not be resumed breaks
-    # Symptom: a caller takes half a summary for the whole.
-    # Sequence: the runner dies half way; the node ends its answer in order.
-    # Cause: the end of the runner's connection was taken for the stream's end.
+  Scenario: A stream that is not resumable breaks
+    # The runner dies half way. If the end of its connection counts as the end of the
+    # stream, the caller takes half a summary for the complete one.
     Given a fleet of 1 node and 2 runners
-    And streams may not be resumed
+    And streams are not resumable
     And the runners stream
     And the next call is answered as "cut"
     When a caller makes a "streaming" call that breaks
-    Then the caller sees that the answer is not complete
-    And the runners saw 1 call
+    Then the caller sees that the response is incomplete
+    And the runners received 1 call
 
-  Scenario: A stream that breaks is explained as cut, with the mark of what was asked for
-    # Symptom: the log says "answered" with 200 for a stream that the caller saw break,
-    #   and nothing tells whether two calls that broke asked for the same.
-    # Sequence: a runner dies in the middle of a stream that may not be resumed; the
-    #   caller sends the same request again.
-    # Cause: what was sent was logged, not how it ended; calls were known by ids only,
-    #   and each try of a caller has a new one.
+  Scenario: A broken stream is explained as cut, with the digest of its request
+    # A log of what was sent, not of how it ended, says "answered" with 200 for a stream
+    # that broke. As each attempt of a caller has a new id, only a digest of the request
+    # shows that two broken calls asked for the same.
     Given a fleet of 1 node and 2 runners
-    And streams may not be resumed
+    And streams are not resumable
     And the runners stream
     And the next 2 calls are answered as "cut"
-    When the same "streaming" request comes as "first" and as "second"
-    Then both are explained as cut and not as answered, with the same mark
+    When the same "streaming" request is sent as "first" and as "second"
+    Then both are explained as cut and not as answered, with the same digest
--- a/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
+++ b/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
@@ -8,8 +8,8 @@
 from edge_steps import wait_until
 
 COLD_MS = 20_000
-"""Longer than a scenario, so that the machine's speed decides nothing."""
-BEARS_PER_S = 4
+"""Longer than any scenario, so that the result does not depend on the machine."""
+COLD_CALLS_PER_S = 4
 
 
 @given(
@@ -25,8 +25,8 @@
     "has just started"
 )
 def given_cold(context, nodes, runners, cold):
-    figures = {"cold_s": COLD_MS / 1000, "cold_calls_per_s": BEARS_PER_S}
-    fleet = EdgeFleet(nodes=nodes, runners=runners, cold=figures)
+    limits = {"cold_s": COLD_MS / 1000, "cold_calls_per_s": COLD_CALLS_PER_S}
+    fleet = EdgeFleet(nodes=nodes, runners=runners, cold=limits)
     context.run(fleet.__aenter__())
     context.fleet = fleet
     context.add_cleanup(lambda: context.run(fleet.__aexit__(None, None, None)))
@@ -35,7 +35,7 @@
     async def turn_cold():
         for runner in context.cold:
             runner.cold_until_s = time.monotonic() + COLD_MS / 1000
-            runner.cold_calls_per_s = BEARS_PER_S
+            runner.cold_calls_per_s = COLD_CALLS_PER_S
             await fleet.register_runner(runner, cold_ms=COLD_MS)
         await wait_until(lambda: knows_cold(fleet, len(context.cold)), 3)
 
@@ -50,17 +50,17 @@
     )
 
 
-@when("{count:d} calls come within a second")
+@when("{count:d} calls arrive within a second")
 def surge(context, count):
     async def run():
         context.answers = await asyncio.gather(
-            *(come(context, number, count) for number in range(count))
+            *(make_call(context, number, count) for number in range(count))
         )
 
     context.run(run())
 
 
-async def come(context, number, count, node=None):
+async def make_call(context, number, count, node=None):
     fleet = context.fleet
     await asyncio.sleep(number / count)
     return await fleet.call(
@@ -71,26 +71,29 @@
     )
 
 
-@when("the runner's home falls silent and {count:d} calls come at the other node")
-def silence_home(context, count):
+@when(
+    "the runner's home node stops responding and {count:d} calls arrive at the other "
+    "node"
+)
+def stop_home_responses(context, count):
     fleet = context.fleet
     home = fleet.nodes[0].state.region_homes.home_of(fleet.runners[0].runner_id)
-    silent = next(n for n in fleet.nodes if n.state.config.node_id == home)
-    other = fleet.nodes.index(silent) ^ 1
-    silent.io.slot_home._receive_ask = lambda received: None
-    handlers = silent.io.socket._handlers
+    home_node = next(n for n in fleet.nodes if n.state.config.node_id == home)
+    other = fleet.nodes.index(home_node) ^ 1
+    home_node.io.slot_home._receive_ask = lambda received: None
+    handlers = home_node.io.socket._handlers
     for message_type in list(handlers):
         handlers[message_type] = lambda received: None
 
     async def run():
         context.answers = await asyncio.gather(
-            *(come(context, number, count, other) for number in range(count))
+            *(make_call(context, number, count, other) for number in range(count))
         )
 
     context.run(run())
 
 
-@when("the runners say that they are warm")
+@when("the runners report that they are warm")
 def warm_up(context):
     async def run():
         for runner in context.cold:
@@ -101,23 +104,23 @@
     context.run(run())
 
 
-@then("no runner has ended")
-def check_alive(context):
+@then("no runner has crashed")
+def check_no_crash(context):
     assert [runner.crashes for runner in context.fleet.runners].count(0) == len(
         context.fleet.runners
     )
 
 
-@then("a cold runner got no more than {most:d} calls in any second")
-def check_pace(context, most):
+@then("a cold runner received no more than {max_calls:d} calls in any second")
+def check_max_rate(context, max_calls):
     for runner in context.cold:
         times = [call.at_s for call in runner.calls]
-        spans = [sum(at <= t < at + 1.0 for t in times) for at in times]
-        assert 0 < max(spans, default=0) <= most, spans
+        call_counts = [sum(at <= t < at + 1.0 for t in times) for at in times]
+        assert 0 < max(call_counts, default=0) <= max_calls, call_counts
 
 
 @then("most of the calls are answered")
-def check_most(context):
+def check_most_answered(context):
     statuses = [status for status, _, _ in context.answers]
     assert statuses.count(200) > len(statuses) / 2, statuses
 
@@ -134,7 +137,7 @@
     assert {context.cold[0].runner_id: "cold"} in found, found
 
 
-@then("those that are refused have not run and are told when to return")
+@then("refused calls have not run and carry a Retry-After")
 def check_refusals(context):
     ran = {call.call_id for call in context.fleet.calls()}
     refused = [
--- a/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
+++ b/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
@@ -16,29 +16,30 @@
 from clementineyoke_standins.edge.edge_runner import Act
 from clementineyoke_standins.edge.edge_store import StoreFault
 
-BACK_S = 0.4
-GAP_S = 0.25
-"""Between two copies: a caller comes back after some tenths of a second."""
-AT_ONCE_S = 0.1
+RESTART_DELAY_S = 0.4
+RETRY_INTERVAL_S = 0.25
+"""Between two copies: a caller retries after some tenths of a second."""
+MAX_REFUSAL_S = 0.1
 CRASHING = b"a request that crashes whoever runs it"
-UNLUCKY = b"a request that nothing is wrong with"
-LOAD_S = 0.3
-"""Until a node that has just started has read what the store keeps."""
-MOST_CRASHES = 4
-"""With streams beside it the request may be told from them by its fourth runner."""
-STAND_LIMIT_S = 5.0
-COPY_GAP_S = 0.01
-SETTLED_S = 0.1
+INNOCENT = b"a request that nothing is wrong with"
+LOAD_TIME_S = 0.3
+"""Time in which a node that has just started reads the stored records."""
+MAX_CRASHES = 4
+"""With streams on the same runners, four crashes may be needed to tell the request
+from them."""
+SPREAD_LIMIT_S = 5.0
+COPY_INTERVAL_S = 0.01
+SETTLE_TIME_S = 0.1
 STREAMS = 4
 EVENT_PAUSE_S = 0.06
-"""A stream takes some 0.4 s and so stands on a runner when a copy comes."""
+"""A stream takes about 0.4 s, so it is in progress when a copy arrives."""
 
 
-def start_again(context, runner):
-    """Start a crashed runner again under its id, as a new lifetime."""
+def restart(context, runner):
+    """Restart a crashed runner with the same id, as a new lifetime."""
 
     async def act():
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await runner.start()
         context.born_ms += 1
         await context.fleet.register_runner(runner, born_ms=context.born_ms)
@@ -46,30 +47,28 @@
     context.restarts.append(asyncio.ensure_future(act()))
 
 
-@given("a fleet of {nodes:d} node and {runners:d} runners that come back after a crash")
-@given(
-    "a fleet of {nodes:d} nodes and {runners:d} runners that come back after a crash"
-)
+@given("a fleet of {nodes:d} node and {runners:d} runners that restart after a crash")
+@given("a fleet of {nodes:d} nodes and {runners:d} runners that restart after a crash")
 def given_crashing_fleet(context, nodes, runners):
     context.born_ms = 1_700_000_000_000
     context.restarts = []
     fleet = EdgeFleet(nodes=nodes, runners=runners)
     for runner in fleet.runners:
-        runner.on_crash = lambda crashed: start_again(context, crashed)
+        runner.on_crash = lambda crashed: restart(context, crashed)
     context.run(fleet.__aenter__())
     context.fleet = fleet
     context.add_cleanup(lambda: context.run(fleet.__aexit__(None, None, None)))
 
 
-@given("a request that crashes every runner that begins to run it")
+@given("a request that crashes every runner that starts to run it")
 def given_crashing_request(context):
     for runner in context.fleet.runners:
         runner.crashing_bodies.add(CRASHING)
 
 
 async def send(context, *, number, call_id, kind="idempotent", body=CRASHING):
-    """Return status, headers and how long it took; no status when the answer broke."""
-    began_s = time.monotonic()
+    """Return status, headers and duration; the status is None if the response broke."""
+    started_s = time.monotonic()
     try:
         status, headers, _ = await context.fleet.call(
             kind,
@@ -80,22 +79,22 @@
         )
     except aiohttp.ClientError:
         status, headers = None, {}
-    return status, headers, time.monotonic() - began_s
+    return status, headers, time.monotonic() - started_s
 
 
-@when("it comes {count:d} times, at one node after another")
+@when("it is sent {count:d} times, to one node after another")
 def send_copies(context, count):
     async def act():
         for copy in range(count):
             number = copy % len(context.fleet.nodes)
             context.last = await send(context, number=number, call_id=f"copy-{copy}")
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     context.run(act())
 
 
-@when("it comes {count:d} times, at the newest node")
-def send_to_newest(context, count):
+@when("it is sent {count:d} times, to the newest node")
+def send_to_newest_node(context, count):
     async def act():
         for copy in range(count):
             number = len(context.fleet.nodes) - 1
@@ -104,8 +103,8 @@
     context.run(act())
 
 
-@when("a third node starts while the store is away")
-def start_third(context):
+@when("a third node starts while the store is unavailable")
+def start_third_node(context):
     async def act():
         context.fleet.store.fault = StoreFault.BUSY
         await context.fleet.start_node(len(context.fleet.nodes))
@@ -113,7 +112,7 @@
     context.run(act())
 
 
-@when("all nodes end and start anew")
+@when("all nodes end and restart")
 def restart_all(context):
     async def act():
         fleet = context.fleet
@@ -124,24 +123,24 @@
         fleet.nodes.clear()
         for number in range(count):
             await fleet.start_node(number)
-        await asyncio.sleep(LOAD_S)
+        await asyncio.sleep(LOAD_TIME_S)
 
     context.run(act())
 
 
-@then("the store holds {count:d} refused request within {limit:d} s")
-@then("the store holds {count:d} refused requests within {limit:d} s")
-def check_held(context, count, limit):
+@then("the store holds {count:d} refused request within {limit_s:d} s")
+@then("the store holds {count:d} refused requests within {limit_s:d} s")
+def check_stored(context, count, limit_s):
     store = context.fleet.store
-    context.run(wait_until(lambda: len(store.names(CRASHES_KIND)) == count, limit))
+    context.run(wait_until(lambda: len(store.names(CRASHES_KIND)) == count, limit_s))
 
 
-@when("{length:d} s have passed for what the nodes remember")
-def pass_time(context, length):
+@when("the crash records of the nodes have aged by {age_s:d} s")
+def age_records(context, age_s):
     for node in context.fleet.nodes:
         records = node.io.crash_tracker._records
         for digest, record in list(records._records.items()):
-            older = record._replace(last_ms=record.last_ms - 1000 * length)
+            older = record._replace(last_ms=record.last_ms - 1000 * age_s)
             records._records[digest] = older
 
 
@@ -150,19 +149,19 @@
 
 
 def order_of(context, key):
-    """Return a pool's runners in the order in which a key tries them."""
+    """Return the pool's runners in the order in which a key tries them."""
     return list(context.fleet.nodes[0].state.rings.order(POOL, key))
 
 
-def own_order(context, body):
-    """Return the order by the mark of a request with this body."""
+def digest_order(context, body):
+    """Return the runners in the order of the digest of a request with this body."""
     digest = request_digest(
         team=TEAM, method="POST", target="/non_idempotent/x", body=body
     )
     return order_of(context, int.from_bytes(digest[:8], "big"))
 
 
-def runner_of(context, call_id):
+def runner_that_received(context, call_id):
     (found,) = (
         runner.runner_id
         for runner in context.fleet.runners
@@ -178,11 +177,11 @@
         )
 
 
-@when("runners end {times:d} times with a request on them whose prompt others share")
-def end_with_prompt(context, times):
+@when("runners end {times:d} times while they run a request whose prompt others share")
+def crash_while_running_prompt(context, times):
     first = order_of(context, PROMPT_KEY)[0]
     bodies = (b"request %d" % number for number in range(100))
-    context.body = next(b for b in bodies if own_order(context, b)[0] != first)
+    context.body = next(b for b in bodies if digest_order(context, b)[0] != first)
     for runner in context.fleet.runners:
         runner.crashing_bodies = {context.body}
 
@@ -190,7 +189,7 @@
         table = context.fleet.nodes[0].state.table
         for number in range(times):
             await send_prompted(context, f"end-{number}", context.body)
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             await asyncio.gather(*context.restarts)
             await wait_until(
                 lambda: all(table.is_ready(r.runner_id) for r in context.fleet.runners),
@@ -203,15 +202,17 @@
         runner.crashing_bodies = set()
 
 
-@then("its next copy goes where its own mark sends it, and others follow the prompt")
-def check_apart(context):
+@then("its next copy is routed by its digest, and others by their prompt")
+def check_routed_by_digest(context):
     async def act():
         await send_prompted(context, "other", b"another request")
         await send_prompted(context, "copy", context.body)
 
     context.run(act())
-    assert runner_of(context, "other") == order_of(context, PROMPT_KEY)[0]
-    assert runner_of(context, "copy") == own_order(context, context.body)[0]
+    assert runner_that_received(context, "other") == order_of(context, PROMPT_KEY)[0]
+    assert (
+        runner_that_received(context, "copy") == digest_order(context, context.body)[0]
+    )
 
 
 async def stream(context, name):
@@ -226,7 +227,7 @@
     return status, text
 
 
-@when('it comes {count:d} times as "{kind}" while streams of other callers go on')
+@when('it is sent {count:d} times as "{kind}" while other callers stream')
 def send_beside_streams(context, count, kind):
     for runner in context.fleet.runners:
         runner.answers_by_path = {"/streaming/": Act.STREAM}
@@ -244,15 +245,15 @@
             context.streamed += await asyncio.gather(*streams, return_exceptions=True)
 
     context.run(act())
-    assert 3 <= crashes(context) <= MOST_CRASHES, crashes(context)
+    assert 3 <= crashes(context) <= MAX_CRASHES, crashes(context)
 
 
-@then("every stream is whole")
+@then("every stream is complete")
 def check_streams(context):
     assert set(context.streamed) == {(200, WHOLE_STREAM)}, context.streamed
 
 
-@then("the same streams are served when they come again")
+@then("the same streams are served when they are sent again")
 def check_streams_again(context):
     async def act():
         return [await stream(context, name) for name in range(len(context.streamed))]
@@ -260,45 +261,47 @@
     assert set(context.run(act())) == {(200, WHOLE_STREAM)}
 
 
-async def stand_on(context, runners):
-    """Send copies of one request until one stands on each runner; return the calls.
+async def spread_copies(context, runners):
+    """Send copies of one request until each runner has one; return the calls.
 
-    A copy goes to any runner: a fixed number may leave one of them without.
+    A copy may go to any runner, so that a fixed number of copies might miss one.
     """
-    seen = {runner.runner_id: len(runner.calls) for runner in runners}
+    call_counts = {runner.runner_id: len(runner.calls) for runner in runners}
     calls = []
-    ends_s = time.monotonic() + STAND_LIMIT_S
-    while any(len(r.calls) == seen[r.runner_id] for r in runners):
-        assert time.monotonic() < ends_s, "no copy came to one of the runners"
+    deadline_s = time.monotonic() + SPREAD_LIMIT_S
+    while any(len(r.calls) == call_counts[r.runner_id] for r in runners):
+        assert time.monotonic() < deadline_s, (
+            f"a runner got no copy within {SPREAD_LIMIT_S} s"
+        )
         copy = send(
             context,
             number=len(calls) % len(context.fleet.nodes),
             call_id=f"unlucky-{time.monotonic()}-{len(calls)}",
             kind="non_idempotent",
-            body=UNLUCKY,
+            body=INNOCENT,
         )
         calls.append(asyncio.ensure_future(copy))
-        await asyncio.sleep(COPY_GAP_S)
-    # Copies sent just before an end cannot be told from sends that follow on it.
-    await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(COPY_INTERVAL_S)
+    # Copies sent just before a crash cannot be told from those sent after it.
+    await asyncio.sleep(SETTLE_TIME_S)
     return calls
 
 
 @when("all runners end at once with the same slow request on each, {times:d} times")
-def end_all(context, times):
+def crash_all(context, times):
     async def act():
         for runner in context.fleet.runners:
             runner.usual = Act.SLOW
         for _ in range(times):
-            await end_all_once(context)
+            await crash_all_once(context)
 
     context.run(act())
     assert crashes(context) == times * len(context.fleet.runners)
 
 
-async def end_all_once(context):
+async def crash_all_once(context):
     runners = context.fleet.runners
-    calls = await stand_on(context, runners)
+    calls = await spread_copies(context, runners)
     for runner in runners:
         runner.crash()
     await asyncio.gather(*calls)
@@ -316,51 +319,51 @@
     )
 
 
-@when("the same request comes {count:d} times")
+@when("the same request is sent {count:d} times")
 def send_same_again(context, count):
     async def act():
         for copy in range(count):
-            await send(context, number=0, call_id=f"unlucky-{copy}", body=UNLUCKY)
-            await asyncio.sleep(GAP_S)
+            await send(context, number=0, call_id=f"unlucky-{copy}", body=INNOCENT)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     context.run(act())
     assert not crashes(context)
 
 
 @when(
-    "{count:d} leaving runners end one after the other"
+    "{count:d} draining runners end one after the other"
     " with the same slow request on each"
 )
-def end_leaving(context, count):
+def crash_draining(context, count):
     async def act():
         for runner in context.fleet.runners:
             runner.usual = Act.SLOW
             runner.on_crash = lambda _: None
-        for leaving in context.fleet.runners[:count]:
-            await end_leaving_one(context, leaving)
+        for draining in context.fleet.runners[:count]:
+            await crash_one_draining(context, draining)
 
     context.run(act())
 
 
-async def end_leaving_one(context, leaving):
-    calls = await stand_on(context, [leaving])
-    await context.fleet.register_runner(leaving, state="draining")
+async def crash_one_draining(context, draining):
+    calls = await spread_copies(context, [draining])
+    await context.fleet.register_runner(draining, state="draining")
     table = context.fleet.nodes[0].state.table
-    await wait_until(lambda: not table.is_ready(leaving.runner_id), 2)
-    leaving.crash()
+    await wait_until(lambda: not table.is_ready(draining.runner_id), 2)
+    draining.crash()
     await asyncio.gather(*calls)
 
 
-@then("the request is served when it comes again")
-def check_unlucky_served(context):
+@then("the request is served when it is sent again")
+def check_innocent_served(context):
     async def act():
-        await asyncio.sleep(GAP_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
         for runner in context.fleet.runners:
             runner.usual = Act.OK
         answers = []
         for number in range(len(context.fleet.nodes)):
             answers.append(
-                await send(context, number=number, call_id="again", body=UNLUCKY)
+                await send(context, number=number, call_id="again", body=INNOCENT)
             )
         return [status for status, _, _ in answers]
 
@@ -387,10 +390,12 @@
     assert refused["fields"]["outcome"] == "not_run"
 
 
-@then('the mark in that line finds the failed copy "{call_id}" of the same request')
-def check_same_mark(context, call_id):
-    mark = context.barred["request_digest"]
-    found = decisions_of(context, 0, mark)
+@then(
+    'the digest in that decision finds the failed copy "{call_id}" of the same request'
+)
+def check_same_digest(context, call_id):
+    digest = context.barred["request_digest"]
+    found = decisions_of(context, 0, digest)
     assert call_id in {decision["request_id"] for decision in found}, found
 
 
@@ -398,14 +403,14 @@
     return sum(runner.crashes for runner in context.fleet.runners)
 
 
-@then("it has crashed {most:d} runners at most")
-def check_crashes(context, most):
-    assert 0 < crashes(context) <= most, crashes(context)
+@then("it has crashed at most {max_crashes:d} runners")
+def check_crashes(context, max_crashes):
+    assert 0 < crashes(context) <= max_crashes, crashes(context)
 
 
-@then("its last copy was refused at once with 503 and a time to return")
+@then("its last copy was refused at once with 503 and a Retry-After")
 def check_refused(context):
-    status, headers, took_s = context.last
+    status, headers, elapsed_s = context.last
     assert status == 503, context.last
     assert float(headers["Retry-After"]) > 0, context.last
-    assert took_s < AT_ONCE_S, context.last
+    assert elapsed_s < MAX_REFUSAL_S, context.last
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -38,17 +38,17 @@
 
 
 @given('the next call is answered as "{act}"')
-def given_act(context, act):
-    given_script(context, Act(act))
+def given_next_act(context, act):
+    set_script(context, Act(act))
 
 
 @given('the next {count:d} calls are answered as "{act}"')
-def given_acts(context, count, act):
-    given_script(context, *[Act(act)] * count)
+def given_next_acts(context, count, act):
+    set_script(context, *[Act(act)] * count)
 
 
-def given_script(context, *acts):
-    """Let whichever runners get the next calls take the acts, and only those."""
+def set_script(context, *acts):
+    """Answer the next calls by these acts in order, whichever runners get them."""
     script = list(acts)
     for runner in context.fleet.runners:
         runner.script = script
@@ -67,14 +67,14 @@
         runner.event_pause_s = 0.1
 
 
-@given("the runners forget connections that rest")
-def given_forgetful(context):
+@given("the runners silently drop idle connections")
+def given_silent_drops(context):
     for runner in context.fleet.runners:
         runner.forgets_idle = True
 
 
-@given("the runners say that they keep resting connections for {kept_s:d} s")
-def given_kept(context, kept_s):
+@given("the runners announce that they keep idle connections for {kept_s:d} s")
+def given_announced_idle_time(context, kept_s):
     for runner in context.fleet.runners:
         runner.idle_kept_s = kept_s
 
@@ -107,21 +107,23 @@
     assert statuses.count(200) == count, statuses
 
 
-@given("streams may not be resumed")
-def given_no_resume(context):
+@given("streams are not resumable")
+def given_not_resumable(context):
     route = make_route("streaming", runners=1, resumable=False)
     context.run(context.fleet.put_state(route))
-    context.run(wait_until(lambda: in_force(context) == 2, 2))
+    context.run(wait_until(lambda: version_in_force(context) == 2, 2))
 
 
-def in_force(context):
+def version_in_force(context):
     return context.fleet.nodes[0].io.view.routes.state.version
 
 
-async def wait_until(holds, limit_s):
-    ends = time.monotonic() + limit_s
-    while not holds():
-        assert time.monotonic() < ends, "it did not happen in time"
+async def wait_until(condition, limit_s):
+    deadline_s = time.monotonic() + limit_s
+    while not condition():
+        assert time.monotonic() < deadline_s, (
+            f"the condition was not met within {limit_s} s"
+        )
         await asyncio.sleep(0.02)
 
 
@@ -143,7 +145,7 @@
 
 
 @when("a caller makes a call with two ids")
-def make_double_call(context):
+def make_call_with_two_ids(context):
     async def call():
         fields = [
             ("Host", "shop.example"),
@@ -160,28 +162,28 @@
 
 @when('a caller makes a "{kind}" call that breaks')
 def make_breaking_call(context, kind):
-    context.broke = False
+    context.is_broken = False
     try:
         context.answer = context.run(context.fleet.call(kind))
     except aiohttp.ClientError:
-        context.broke = True
+        context.is_broken = True
 
 
-@when("the late answer has come")
-def wait_for_late(context):
+@when("the late response has arrived")
+def wait_for_late_response(context):
     context.run(asyncio.sleep(0.2))
 
 
-@then("the caller gets 200 and its own answer, with the runner's proof")
-def check_own_answer(context):
+@then("the caller gets 200 and its own response, with the runner's signature")
+def check_own_response(context):
     status, headers, body = context.answer
     assert status == 200, context.answer
     assert body == "answer to call-1", body
     assert PROOF in headers.values()
 
 
-@then('the caller gets 200 and the answer to "{call_id}"')
-def check_answer_to(context, call_id):
+@then('the caller gets 200 and the response to "{call_id}"')
+def check_response_to(context, call_id):
     status, _, body = context.answer
     assert (status, body) == (200, f"answer to {call_id}"), context.answer
 
@@ -197,14 +199,14 @@
     assert 0 < float(context.answer[1]["Retry-After"]) < 3
 
 
-@then("the runners saw {count:d} calls")
-@then("the runners saw {count:d} call")
-def check_count(context, count):
+@then("the runners received {count:d} calls")
+@then("the runners received {count:d} call")
+def check_received_count(context, count):
     assert len(context.fleet.calls()) == count, context.fleet.calls()
 
 
-@then("the runner saw the call's id, its team and its own id, and no key")
-def check_seen(context):
+@then("the runner received the call's id, its team and the runner's id, but no key")
+def check_received_call(context):
     (call,) = context.fleet.calls()
     fields = call.fields
     assert fields[CALL_ID_HEADER.lower()] == "call-1"
@@ -215,16 +217,16 @@
     assert "accept-encoding" not in fields or "gzip" in fields["accept-encoding"]
 
 
-@then('the runner saw "{fields}"')
-def check_seen_fields(context, fields):
+@then('the runner received "{fields}"')
+def check_received_fields(context, fields):
     (call,) = context.fleet.calls()
     for field in fields.split(", "):
         name, value = field.split(": ")
         assert call.fields.get(name) == value, call.fields
 
 
-@then('the runner saw no "{names}"')
-def check_seen_none(context, names):
+@then('the runner received no "{names}"')
+def check_not_received(context, names):
     (call,) = context.fleet.calls()
     assert not set(names.split(", ")) & call.fields.keys(), call.fields
 
@@ -235,15 +237,15 @@
     assert context.answer[2] == WHOLE_STREAM, context.answer[2]
 
 
-@then("the second runner was told the last event that the caller has")
-def check_resumed(context):
+@then("the second runner received the id of the last event that the caller has")
+def check_last_event_id(context):
     last = [call.fields.get("last-event-id") for call in context.fleet.calls()]
     assert sorted(last, key=str) == [str(EVENTS // 2 - 1), None], last
 
 
-@then("the caller sees that the answer is not complete")
-def check_broke(context):
-    assert context.broke, context.answer
+@then("the caller sees that the response is incomplete")
+def check_incomplete(context):
+    assert context.is_broken, context.answer
 
 
 @when("the operator withdraws the key")
@@ -251,19 +253,19 @@
     context.run(context.fleet.put_state(keys=("another",)))
 
 
-@then("calls are refused with 401 within {limit:d} s")
-def check_refused(context, limit):
+@then("calls are refused with 401 within {limit_s:d} s")
+def check_refused(context, limit_s):
     async def check():
-        ends = time.monotonic() + limit
+        deadline_s = time.monotonic() + limit_s
         while (await context.fleet.call("idempotent"))[0] != 401:
-            assert time.monotonic() < ends, "the key is still served"
+            assert time.monotonic() < deadline_s, "calls with the key are still served"
             await asyncio.sleep(0.05)
 
     context.run(check())
 
 
 @when("watches are deaf while the operator withdraws the key, and the history goes")
-def go_deaf(context):
+def withdraw_key_unwatched(context):
     async def act():
         store = context.fleet.store
         store.is_deaf = True
@@ -277,27 +279,27 @@
 @when("a second node starts that the store turns away")
 def start_turned_away(context):
     async def act():
-        # Loopback callers all come from one address; the first node has its state.
+        # All loopback callers have one address; the first node already has its state.
         context.fleet.store.turned_away.add("127.0.0.1")
         await context.fleet.start_node(1, wait=False)
 
     context.run(act())
 
 
-@then("the second node serves calls within {limit:d} s")
-def check_second_serves(context, limit):
+@then("the second node serves calls within {limit_s:d} s")
+def check_second_serves(context, limit_s):
     async def check():
         node = context.fleet.nodes[1]
-        await asyncio.wait_for(node.io.view.ready.wait(), limit)
+        await asyncio.wait_for(node.io.view.ready.wait(), limit_s)
         return await context.fleet.call("idempotent", number=1)
 
     assert context.run(check())[0] == 200
 
 
 @when("the node is handed an older state")
-def hand_older(context):
+def apply_older_state(context):
     context.run(context.fleet.put_state())
-    context.run(wait_until(lambda: in_force(context) == 2, 2))
+    context.run(wait_until(lambda: version_in_force(context) == 2, 2))
     spec = {"version": 1, "routes": [], "services": [], "tenants": []}
     view = context.fleet.nodes[0].io.view
 
@@ -310,27 +312,27 @@
 
 
 @then("the newer state stays in force")
-def check_newer(context):
-    assert in_force(context) == 2
+def check_newer_state(context):
+    assert version_in_force(context) == 2
 
 
-async def named(context, number):
+async def count_addresses(context, number):
     url = context.fleet.url(number, 2, "/v1/resolve?name=shop.example")
     async with context.fleet.session.get(url) as response:
         return len((await response.json())["addresses"])
 
 
-async def wait_named(context, number, count, limit_s):
-    ends = time.monotonic() + limit_s
-    while await named(context, number) != count:
-        assert time.monotonic() < ends, await named(context, number)
+async def wait_for_addresses(context, number, count, limit_s):
+    deadline_s = time.monotonic() + limit_s
+    while await count_addresses(context, number) != count:
+        assert time.monotonic() < deadline_s, await count_addresses(context, number)
         await asyncio.sleep(0.02)
 
 
-@then("each node names {count:d} addresses within {limit:d} s")
-def check_each_names(context, count, limit):
+@then("each node names {count:d} addresses within {limit_s:d} s")
+def check_each_names(context, count, limit_s):
     for number in range(len(context.fleet.nodes)):
-        context.run(wait_named(context, number, count, limit))
+        context.run(wait_for_addresses(context, number, count, limit_s))
 
 
 @when("the second node is told to stop")
@@ -345,9 +347,9 @@
     context.run(act())
 
 
-@then("the first node names {count:d} address within {limit:d} s")
-def check_first_names(context, count, limit):
-    context.run(wait_named(context, 0, count, limit))
+@then("the first node names {count:d} address within {limit_s:d} s")
+def check_first_names(context, count, limit_s):
+    context.run(wait_for_addresses(context, 0, count, limit_s))
 
 
 @then("the second node says that it is not ready")
@@ -378,10 +380,10 @@
 
 
 @when("a call comes on an idle connection while a leaving node ends a stream")
-def call_on_idle(context):
+def call_on_idle_connection(context):
     async def act():
         fleet = context.fleet
-        # Its own session: a connection that was opened and has carried no call.
+        # A separate connection that has been opened and has carried no call.
         reader, writer = await asyncio.open_connection("127.0.0.2", fleet.ports[0])
         stream = asyncio.ensure_future(fleet.call("streaming"))
         await asyncio.sleep(0.2)
@@ -406,11 +408,13 @@
 
 @then("the caller gets an answer or sees the connection closed at once")
 def check_closed(context):
-    assert context.first_bytes is not None, "the call was read and not answered"
+    assert context.first_bytes is not None, (
+        "the node read the call but did not answer it"
+    )
 
 
 @when("the store is away, the runner's entry lapses and the store returns")
-def lapse(context):
+def remove_entry_while_store_is_away(context):
     async def act():
         fleet = context.fleet
         fleet.store.fault = StoreFault.BUSY
@@ -447,7 +451,7 @@
     assert '"routed"' in page and '"answered"' in page, page
 
 
-@when('the same "{kind}" request comes as "{first}" and as "{second}"')
+@when('the same "{kind}" request is sent as "{first}" and as "{second}"')
 def send_same(context, kind, first, second):
     context.call_ids = (first, second)
     for call_id in context.call_ids:
@@ -455,16 +459,16 @@
             context.run(context.fleet.call(kind, call_id=call_id, data=b"the same"))
 
 
-@then("both are explained as cut and not as answered, with the same mark")
+@then("both are explained as cut and not as answered, with the same digest")
 def check_cut_explained(context):
-    marks = set()
+    digests = set()
     for call_id in context.call_ids:
         page = context.run(get_page(context, f"/explain?id={call_id}"))
         decisions = msgspec.json.decode(page)["decisions"]
         events = [decision["event"] for decision in decisions]
         assert events == ["routed", "runner_failed", "answer_cut"], events
-        marks.add(decisions[1]["fields"]["request_digest"])
-    assert len(marks) == 1, marks
+        digests.add(decisions[1]["fields"]["request_digest"])
+    assert len(digests) == 1, digests
 
 
 @then("with 60 nodes that watch a watch of the runners ends before three heartbeats")
@@ -497,40 +501,40 @@
     context.add_cleanup(folder.cleanup)
     context.file = Path(folder.name) / "node.json"
     context.file.write_bytes(msgspec.json.encode(config))
-    context.taken = []
+    context.applied = []
     context.settings = SettingsFile(
-        path=str(context.file), config=config, on_change=context.taken.append
+        path=str(context.file), config=config, on_change=context.applied.append
     )
 
 
-def look(context, content):
+def write_and_check(context, content):
     context.file.write_bytes(content)
-    # The clock of the file system is coarse; a test writes twice within one tick.
+    # File system timestamps are coarse: two writes may fall within one tick.
     os.utime(context.file, ns=(0, context.file.stat().st_mtime_ns + 1_000_000))
     context.run(context.settings.check())
 
 
 @when("it is half written and the node looks at it")
 def half_written(context):
-    context.whole = context.file.read_bytes()
-    look(context, context.whole[: len(context.whole) // 2])
+    context.complete_file = context.file.read_bytes()
+    write_and_check(context, context.complete_file[: len(context.complete_file) // 2])
 
 
 @then("the node keeps its settings")
 def check_kept(context):
-    assert context.taken == []
+    assert context.applied == []
 
 
 @when("it names another seed and the node looks at it")
 def another_seed(context):
-    changed = msgspec.json.decode(context.whole)
+    changed = msgspec.json.decode(context.complete_file)
     changed["seeds"] = ["127.0.0.9:4"]
-    look(context, msgspec.json.encode(changed))
+    write_and_check(context, msgspec.json.encode(changed))
 
 
 @then("the node takes the new seed")
 def check_taken(context):
-    (config,) = context.taken
+    (config,) = context.applied
     assert config.seeds == ["127.0.0.9:4"]
 
 
@@ -551,7 +555,7 @@
 
 @when("a node's process is told of changed settings while it starts")
 def signal_at_start(context):
-    # Stands for the modules that take long to load: the signal comes while they do.
+    # Simulates a slow import: the signal arrives while a module is being loaded.
     loading = (
         "import os, signal, sys, types\n"
         "from clementineyoke_node.console import edge\n"
@@ -577,8 +581,8 @@
 
 @when("a node's process is told of changed settings after its last answer")
 def signal_at_end(context):
-    # Stands for a node that has served: what it serves with ends at once. The signal
-    # comes when the interpreter drops the last object.
+    # Simulates a node that has stopped serving: the signal arrives when the
+    # interpreter destroys the last object at its exit.
     ending = (
         "import asyncio, os, signal\n"
         "from clementineyoke_node.console import edge_process\n"
