--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
@@ -186,7 +186,7 @@
         stream: CallerStream,
         may_retry: Callable[[], bool],
     ) -> bytes:
-        if stream.sent_events:
+        if stream.sent_event_count:
             timeout = self._next_event_timeout(admitted, may_retry)
         else:
             timeout = self._head_timeout(admitted, may_retry)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
@@ -58,13 +58,13 @@
         self._metrics = metrics
         self._rng = rng
         self._membership = membership
-        self._start_wait = start_wait
+        self._startup_wait = start_wait
         self._call_rate = call_rate
         self._active_connections: set[web.RequestHandler] = set()
 
     def record_start(self) -> None:
-        """Record the node's start."""
-        self._start_wait.record_start(now_ms=self._timers.now_ms())
+        """Record the node's start, as the origin of the wait for its first state."""
+        self._startup_wait.record_start(now_ms=self._timers.now_ms())
 
     def is_busy(self, connection: web.RequestHandler) -> bool:
         """Return whether a call is in progress on a caller's connection."""
@@ -133,14 +133,14 @@
         return await self._forwarder.forward(request, admitted)
 
     async def _wait_for_state(self) -> None:
-        wait_ms = self._start_wait.begin_wait(now_ms=self._timers.now_ms())
+        wait_ms = self._startup_wait.begin_wait(now_ms=self._timers.now_ms())
         try:
             async with asyncio.timeout(wait_ms / MS_PER_S):
                 await self._view.ready.wait()
         except TimeoutError:
             return  # The call is admitted or refused by the state known so far.
         finally:
-            self._start_wait.end_wait()
+            self._startup_wait.end_wait()
 
     def _error_response(
         self, call: EdgeCall, error: RequestError, arrived_ms: float
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
@@ -22,7 +22,7 @@
         self._splitter = EventSplitter()
         self.last_event_id = last_event_id
         """The id of the last event that the caller has."""
-        self.sent_events = 0
+        self.sent_event_count = 0
 
     @property
     def has_started(self) -> bool:
@@ -52,7 +52,7 @@
         events = [event for event in self._splitter.feed(chunk) if self._is_new(event)]
         if events and self._response is not None:
             await self._response.write(b"".join(event.body for event in events))
-        self.sent_events += len(events)
+        self.sent_event_count += len(events)
         return len(events)
 
     @property
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
@@ -53,7 +53,7 @@
 
 
 class CrashTracker:
-    """Keeps this node's records of requests during which runners have crashed.
+    """Keeps the node's records of requests under which runners have crashed.
 
     A node whose call breaks checks whether the runner has crashed, and reports it to
     the request's home nodes, the first ones in the order of its digest. They count the
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
@@ -37,8 +37,8 @@
 """Retry-After of a call that was refused by full or draining runners: by then the node
 knows that they accept no more calls, and chooses another runner."""
 NO_RUNNER_RETRY_MS = 1_000
-"""Retry-After of a call whose pool has no runner at all: the runners of an evacuated
-zone, or new ones, take seconds to return."""
+"""Retry-After of a call whose pool has no runner that accepts calls: the runners of an
+evacuated zone, or new ones, take seconds to arrive."""
 RETRY_JITTER_MS = 400
 """Range of the random delay added to the Retry-After of calls that were refused while
 all runners of a pool are in backoff: callers that return all at once would be refused
@@ -74,7 +74,7 @@
         budget of a pool.
         """
         self._broker = broker
-        self._attempts = attempts
+        self._attempt_executor = attempts
         self._health = health
         self._crash_tracker = crash_tracker
         self._retry_window = retry_window
@@ -108,7 +108,7 @@
             started_ms = self._timers.now_ms()
             with self._broker.holding(lease):
                 try:
-                    response = await self._attempts.execute(
+                    response = await self._attempt_executor.execute(
                         admitted,
                         runner,
                         stream,
@@ -213,6 +213,7 @@
         stream: CallerStream,
         failure: AttemptError,
     ) -> web.StreamResponse:
+        """Abort the stream, return the runner's error response, or raise an error."""
         if stream.has_started:
             return self._abort_stream(admitted, stream, reason=failure.reason)
         if failure.response is not None:
@@ -256,7 +257,7 @@
             Event.ANSWER_CUT,
             request_id=admitted.call.call_id,
             reason=reason,
-            events=stream.sent_events,
+            events=stream.sent_event_count,
             after_ms=round(self._timers.now_ms() - admitted.arrived_ms),
         )
         return stream.abort()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/overdue_timer.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/overdue_timer.py
@@ -15,7 +15,7 @@
     """Calls ``on_overdue`` once, unless it is stopped or its block ends before.
 
     A runner may accept calls and never answer. Calls that may not be sent again wait
-    there until their deadline, and until the runner is reported more calls follow.
+    there until their deadline, and more calls follow until the runner is reported.
     """
 
     def __init__(self, *, after_ms: float, on_overdue: Callable[[], None]) -> None:
@@ -34,6 +34,6 @@
         self.stop()
 
     def stop(self) -> None:
-        """Cancel the timer when data has arrived."""
+        """Cancel the timer; called when the first data arrives."""
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
@@ -37,7 +37,11 @@
 
 
 def check_outcome(response: CompleteResponse, *, runner: Runner) -> None:
-    """Raise ``AttemptError`` for a refusal, a failure or a success without proof."""
+    """Raise ``AttemptError`` unless the response may be returned to the caller.
+
+    It may not if it is a refusal, a server error or another status that means "not
+    run", or a success without the runner's signature header (``has_proof``).
+    """
     head = response.head
     if head.is_refusal:
         raise AttemptError(
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_protocol.py
@@ -58,9 +58,9 @@
         self, data: tuple[RawResponseMessage, StreamReader], size: int = 0
     ) -> None:
         """Apply the idle timeout in the response's ``Keep-Alive`` header, if any."""
-        timeout = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
-        if timeout is not None:
-            self._max_idle_s = min(MAX_IDLE_S, int(timeout[1]) - KEEP_ALIVE_MARGIN_S)
+        announced = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
+        if announced is not None:
+            self._max_idle_s = min(MAX_IDLE_S, int(announced[1]) - KEEP_ALIVE_MARGIN_S)
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_timeout.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_timeout.py
@@ -31,14 +31,14 @@
         of the retry budget changes while the runner is silent.
         """
         loop = asyncio.get_running_loop()
-        timeout_ms = max(MIN_TIMEOUT_MS, self.hard_timeout_ms)
-        async with asyncio.timeout(timeout_ms / MS_PER_S) as scope:
+        hard_timeout_ms = max(MIN_TIMEOUT_MS, self.hard_timeout_ms)
+        async with asyncio.timeout(hard_timeout_ms / MS_PER_S) as scope:
 
             def on_soft_timeout() -> None:
                 if self.may_retry():
                     scope.reschedule(loop.time())
 
-            if self.soft_timeout_ms >= timeout_ms:
+            if self.soft_timeout_ms >= hard_timeout_ms:
                 yield
                 return
             timer = loop.call_later(self.soft_timeout_ms / MS_PER_S, on_soft_timeout)
--- a/packages/clementineyoke-node/tests/edge/calls.feature
+++ b/packages/clementineyoke-node/tests/edge/calls.feature
@@ -27,8 +27,8 @@
     And the runners received 2 calls
 
   Scenario: The last runner of a call is slow
-    # The first runner is silent and the second, last one slow. Abandoned as early as the
-    # first, it fails the call with 502 after 0.6 s although it is working on it.
+    # If the last runner is abandoned as early as the silent first one, the call fails with
+    # 502 after 0.6 s while the last runner is working on it.
     Given a fleet of 1 node and 2 runners
     And the next 2 calls are answered as "slow"
     When a caller makes a "idempotent" call
@@ -43,8 +43,8 @@
     And the runners received 1 call
 
   Scenario Outline: A call that may not be repeated gets no valid response
-    # The runner runs the call and its response is lost or unusable. Sending the call
-    # again, or answering with a status that means "not run", books something twice.
+    # The runner runs the call, but its response is lost or unusable. Sending the call again,
+    # or returning a status that means "not run", leads to a double booking.
     Given a fleet of 1 node and 2 runners
     And the next call is answered as "<act>"
     When a caller makes a "non_idempotent" call
--- a/packages/clementineyoke-node/tests/edge/crashing_requests.feature
+++ b/packages/clementineyoke-node/tests/edge/crashing_requests.feature
@@ -1,10 +1,9 @@
 Feature: Requests that crash the runners that run them
 
   Scenario: A request that crashes every runner is sent to one node after another
-    # The caller sends the request again with a new id to another node, which picks the
-    # next runner. If each node judges each call by itself, one runner of the pool ends
-    # about every second with the streams of some ten other callers, and a tenth of all
-    # calls fails. Only the request digest is common to the calls on the ended runners.
+    # Sent again with a new id to another node, it crashes the next runner. If each node
+    # judges each call by itself, a runner ends every second or so with the streams of some
+    # ten other callers, and a tenth of all calls fails. Only the digest links the copies.
     Given a fleet of 3 nodes and 6 runners that restart after a crash
     And a request that crashes every runner that starts to run it
     When it is sent 9 times, to one node after another
--- a/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
+++ b/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
@@ -276,7 +276,7 @@
         copy = send(
             context,
             number=len(calls) % len(context.fleet.nodes),
-            call_id=f"unlucky-{time.monotonic()}-{len(calls)}",
+            call_id=f"innocent-{time.monotonic()}-{len(calls)}",
             kind="non_idempotent",
             body=INNOCENT,
         )
@@ -323,7 +323,7 @@
 def send_same_again(context, count):
     async def act():
         for copy in range(count):
-            await send(context, number=0, call_id=f"unlucky-{copy}", body=INNOCENT)
+            await send(context, number=0, call_id=f"innocent-{copy}", body=INNOCENT)
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     context.run(act())
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -277,7 +277,7 @@
 
 
 @when("a second node starts that the store turns away")
-def start_turned_away(context):
+def start_rejected_node(context):
     async def act():
         # All loopback callers have one address; the first node already has its state.
         context.fleet.store.turned_away.add("127.0.0.1")
@@ -358,7 +358,7 @@
 
 
 @when("a node starts while the store is silent")
-def start_silent(context):
+def start_without_store(context):
     context.fleet.store.fault = StoreFault.SILENT
     context.run(context.fleet.start_node(0, wait=False))
 
@@ -515,34 +515,34 @@
 
 
 @when("it is half written and the node looks at it")
-def half_written(context):
+def write_half(context):
     context.complete_file = context.file.read_bytes()
     write_and_check(context, context.complete_file[: len(context.complete_file) // 2])
 
 
 @then("the node keeps its settings")
-def check_kept(context):
+def check_not_applied(context):
     assert context.applied == []
 
 
 @when("it names another seed and the node looks at it")
-def another_seed(context):
+def write_other_seed(context):
     changed = msgspec.json.decode(context.complete_file)
     changed["seeds"] = ["127.0.0.9:4"]
     write_and_check(context, msgspec.json.encode(changed))
 
 
 @then("the node takes the new seed")
-def check_taken(context):
+def check_applied(context):
     (config,) = context.applied
     assert config.seeds == ["127.0.0.9:4"]
 
 
 @when("a node starts while the file is half written, and the rest follows")
 def start_half_written(context):
-    whole = context.file.read_bytes()
-    context.file.write_bytes(whole[: len(whole) // 2])
-    writer = threading.Timer(0.05, context.file.write_bytes, (whole,))
+    complete_file = context.file.read_bytes()
+    context.file.write_bytes(complete_file[: len(complete_file) // 2])
+    writer = threading.Timer(0.05, context.file.write_bytes, (complete_file,))
     writer.start()
     context.started_with = wait_for_config(str(context.file), pause_s=0.02)
     writer.join()
--- a/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
+++ b/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
@@ -61,9 +61,9 @@
 @when("{count:d} more calls arrive at node {node:d}")
 def make_more_calls(context, count, node):
     async def act():
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         answers = [await make_call(context, f"later-{n}", node) for n in range(count)]
-        context.elapsed_s = time.monotonic() - began_s
+        context.elapsed_s = time.monotonic() - started_s
         return answers
 
     context.answers = context.run(act())
