--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/__init__.py
@@ -1,3 +1,3 @@
-"""The node on the users' platform: tasks, sockets and timers round the decisions."""
+"""The node on the users' platform: tasks, sockets and timers around the core."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
@@ -1,4 +1,4 @@
-"""Tell callers where to connect, and the platform whether this node is ready."""
+"""HTTP endpoints for the addresses of the nodes and for the readiness of this one."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from clementineyoke_node.timers.timer_service import TimerService
 
 KEEP_MS = 1_000.0
-"""How long callers keep an answer. Some keep it three times as long; a node that dies
-is on lists for that long, so the time is as short as a caller's second question a
-second is cheap."""
+"""Maximum time for which callers cache an answer. Some cache it three times as long,
+and a dead node stays on their lists until then. The time is short because a lookup per
+second and caller is cheap."""
 CHOICE_MS = 100.0
-"""How long a choice is kept: on 195 nodes it takes 0.13 ms, and callers ask hundreds of
-times a second."""
+"""How long a choice is cached: with 195 nodes it takes 0.13 ms to compute, and callers
+ask hundreds of times a second."""
 
 
 class DirectoryApi:
-    """Name the nodes that take calls now."""
+    """Return the nodes that currently accept calls."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         timers: TimerService,
         keep_ms: float,
     ) -> None:
-        """Take the parts; ``calls_per_s`` tells the calls of the whole fleet."""
+        """Initialize the endpoints; ``calls_per_s`` returns the load of the fleet."""
         self._membership = membership
         self._is_serving = is_serving
         self._calls_per_s = calls_per_s
@@ -47,7 +47,7 @@
         self._chosen_until_ms = 0.0
 
     async def resolve(self, request: web.Request) -> web.Response:
-        """Name the nodes that a caller may use."""
+        """Return the addresses that a caller may use, or 503 if there are none."""
         nodes = self._entries()
         if not nodes:
             return web.Response(status=503)
@@ -55,7 +55,7 @@
         return web.Response(body=body, headers=JSON_HEADERS)
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Tell whether this node takes calls."""
+        """Return 200 if this node accepts calls, otherwise 503."""
         return web.Response(status=200 if self._is_serving() else 503)
 
     def _entries(self) -> list[Node]:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -1,4 +1,4 @@
-"""The parts of a node on the platform that own sockets, timers and tasks."""
+"""The components of a node on the platform that own sockets, timers and tasks."""
 
 from __future__ import annotations
 
@@ -45,30 +45,31 @@
 RENEWAL_INTERVAL_MS = 4_000
 EXPIRY_INTERVAL_MS = 1_000
 PROMPT_WORK_INTERVAL_MS = 50
-"""Calls that wait for a slot, and runners that were waited for long enough: each ms
-here is one that callers wait, or that a leaving runner goes on getting calls."""
+"""Interval for serving calls that wait for a slot and for dropping runners whose
+entries were not renewed in time. Each ms adds to the wait of callers, or to the time in
+which a leaving runner still gets calls."""
 HOUSEKEEPING_INTERVAL_MS = 250
 ARCHIVE_INTERVAL_MS = 500
-"""How long a newly refused request is known to nodes only."""
+"""How long a newly refused request may be known to the nodes but not to the store."""
 NODES_BURST_MS = 20.0
-"""How long changes among the nodes are gathered. A home that moves so much later costs
-one ask that goes to the old one."""
+"""Delay that combines changes of the nodes into one update. A home that moves that much
+later costs one slot request that goes to the former home."""
 CALLS_AT_NODES = "\0calls"
-"""What the nodes' calls a second are averaged as, beside the load of pools; no pool's
-name begins so."""
+"""Key under which the calls per second of the nodes are averaged, next to the load of
+the pools; no pool has a name that starts with NUL."""
 KEY_BITS = 64
 QUEUE_SHARE = 1.0
-"""Calls that may queue at a runner, as a share of its slots; runners queue four times
-as many. With none a slot stood empty for a quarter of its time, until its release and
-the next grant had crossed the fleet: two runners with 12 slots and 9 calls' work at a
-time refused 32 in 100 calls, and 19 with a queue. Twice as long a queue refused as
-many, and its calls took 250 ms instead of 190."""
+"""Calls that may queue at a runner, as a share of its slots; runners themselves accept
+four times as many. Without a queue a slot is idle for a quarter of the time, while its
+release and the next grant cross the fleet: two runners with 12 slots and a load of 9
+concurrent calls refused 32 of 100 calls, and 19 with a queue. A queue of twice the
+length refused as many, and its calls took 250 ms instead of 190."""
 SLACK_SLOTS = 3
-"""Slots over the bound: with a mean of two, single calls would decide otherwise."""
+"""Slots above the load bound, as single calls decide otherwise at a mean of two."""
 
 
 class EdgeIo:
-    """Own the parts, in the order in which they need each other."""
+    """Own a node's components, which are opened in the order of their dependencies."""
 
     def __init__(self, *, config: EdgeConfig, state: NodeState) -> None:
         self._config = config
@@ -126,7 +127,7 @@
         self.forwarder = self._make_forwarder()
 
     async def __aenter__(self) -> Self:
-        """Open everything."""
+        """Open all components and start the periodic work."""
         for part in (
             self.tasks,
             self.timers,
@@ -147,11 +148,11 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close everything, the last opened first."""
+        """Close all components in reverse order."""
         await self._stack.aclose()
 
     def apply_hosts(self) -> None:
-        """Let every part take a changed view of nodes and runners."""
+        """Apply a changed set of nodes or runners to all components."""
         moved = self._state.take_hosts()
         self.slot_home.rebuild()
         entries = self._state.table.entries()
@@ -161,15 +162,15 @@
         self.watch.retain(lifetimes)
         self._state.cold.retain(lifetimes)
         if moved:
-            # New homes know nothing of what already runs until they are told.
+            # New homes do not know the slots in use until these are renewed.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
 
     def apply_nodes_soon(self) -> None:
-        """Let every part take a changed view of the nodes, once for a burst.
+        """Apply a changed set of nodes to all components, once per burst of changes.
 
-        A node that starts meets its peers one by one within a moment, and so does each
-        of them when many start: with a rebuild for each of 58 peers it answered its
-        first callers late.
+        A starting node discovers its peers one by one within a short time, and so do
+        the peers if many start together: with one rebuild for each of 58 peers a node
+        answered its first callers late.
         """
         if self._is_apply_due:
             return
@@ -177,18 +178,18 @@
         self.tasks.spawn(self._apply_after_burst(), name="apply_nodes")
 
     def begin_leaving(self) -> None:
-        """Tell the peers at once that this node takes no more callers."""
+        """Announce to the peers at once that this node takes no more callers."""
         self._state.membership.begin_leaving()
         self.apply_hosts()
         self.gossiper.announce()
 
     def fleet_calls_per_s(self) -> float:
-        """Return the calls a second of the region's nodes, as their gossip tells."""
+        """Return the calls per second of the region's nodes, from their gossip."""
         nodes = self._state.membership.confirmed_alive(region=self._config.region)
         return self._state.mean_load.mean(CALLS_AT_NODES) * len(nodes)
 
     def meet_seeds(self, seeds: list[str]) -> None:
-        """Say hello to the nodes that the settings name, and ask them for news."""
+        """Greet the seed nodes of the settings, and fetch newer state from them."""
         for seed in seeds:
             address = seed.partition(":")[0]
             if address == self._config.address:
@@ -318,9 +319,9 @@
         return self._state.cold.calls_per_s(runner, now_ms=now_ms) is not None
 
     def _learn_draining(self, runner: Runner) -> bool:
-        """Note that a runner drains; return whether that is news.
+        """Record that a runner drains; return whether that was unknown.
 
-        Its home then refuses slots on it to nodes that do not know yet, in any zone.
+        Its home then refuses slots on it to nodes of any zone that do not know yet.
         """
         news = self.view.record_draining(runner)
         if news is None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -1,4 +1,4 @@
-"""Start a node on the platform in order, and stop it without cutting a call."""
+"""Start a node on the platform, and stop it without cutting off calls."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 MS_PER_S = 1000.0
 CLEANUP_RESERVE_MS = 400.0
-"""Left before the process is killed, to end what is still open in order."""
+"""Time reserved before the process is killed, to close what is still open."""
 END_POLL_MS = 50.0
 LARGEST_FIELD_BYTES = 65_536
 LARGEST_BODY_BYTES = 16_777_216
-"""What a node reads at most, whatever the operator allows: a twelfth of the
-smallest host's memory (200 MB) for one body."""
+"""Limits on what a node reads, whatever the operator allows: one body takes at most a
+twelfth of the memory of the smallest host (200 MB)."""
 IDLE_TIMEOUT_S = 15.0
 
 
 class EdgeService:
-    """Own one node on the platform from its first socket to its last answer."""
+    """Run one node on the platform, from its first socket to its last answer."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         config: EdgeConfig,
         take_listener: Callable[[str], socket.socket | None] = lambda address: None,
     ) -> None:
-        """Put the node together; ``take_door`` gives doors that are open already."""
+        """Build the node; ``take_listener`` returns a socket that is open already."""
         self._config = config
         self._take_door = take_listener
         self._stack = AsyncExitStack()
@@ -74,7 +74,7 @@
         )
 
     async def __aenter__(self) -> Self:
-        """Open the doors, then find store and peers."""
+        """Open the listening sockets, then connect to the store and the peers."""
         config = self._config
         self._door.record_start()
         await self._open_control()
@@ -86,20 +86,20 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close what is left."""
+        """Close all remaining resources."""
         await self._stack.aclose()
         log_event(Event.NODE_STOPPED, node=self._config.node_id)
 
     def request_stop(self) -> None:
-        """Take an order to stop; more of them change nothing."""
+        """Request a stop; further requests have no effect."""
         self._stop_ordered.set()
 
     def apply_config(self, config: EdgeConfig) -> None:
-        """Take changed settings: new seeds are met; all else waits for a restart."""
+        """Apply new seeds of changed settings; all else takes effect at a restart."""
         self.io.meet_seeds(config.seeds)
 
     async def run_until_stopped(self) -> None:
-        """Serve until ordered to stop, then let every call end."""
+        """Serve until a stop is requested, then let calls in flight complete."""
         await self._stop_ordered.wait()
         ordered_ms = self.io.timers.now_ms()
         self.io.begin_leaving()
@@ -122,8 +122,8 @@
     def _close_idle_connections(self) -> None:
         """Close the callers' connections that carry no call.
 
-        aiohttp's own way to end idle connections leaves them open and unread until the
-        process ends: a call that came on one meanwhile was read and never answered.
+        aiohttp's own shutdown stops reading idle connections and leaves them open until
+        the process ends: a call that arrived on one was accepted and never answered.
         """
         server = self._callers.server
         for connection in [] if server is None else list(server.connections):
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this node believes of the desired state, the runners and emptied zones."""
+"""The node's view of the desired state, the runners and the evacuated zones."""
 
 from __future__ import annotations
 
@@ -33,11 +33,14 @@
     from clementineyoke_node.timers.timer_service import TimerService
 
 MOST_LOGGED_IDS = 16
-"""Limits the length of a log line when a whole pool stops taking new calls."""
+"""Bounds the length of a log line when a whole pool stops taking new calls."""
 
 
 class FleetView:
-    """The one writer of these; news from the store and from peers come the same way."""
+    """Apply updates of the view, whether they come from the store or from peers.
+
+    No other class writes the view.
+    """
 
     def __init__(
         self,
@@ -63,21 +66,21 @@
         self.evacuations = Evacuations()
         self.routes: RouteTable | None = None
         self.ready = asyncio.Event()
-        """Set once a desired state, a list of runners and, where zones are emptied, the
-        orders for that are known: the first call must not go to an emptied zone."""
+        """Set once the desired state, the runners and, if zones may be evacuated, the
+        evacuations are known: the first call must not go to an evacuated zone."""
 
     @property
     def state_revision(self) -> int:
-        """The revision of the desired state in force; 0 without one."""
+        """The revision of the desired state in force; 0 if there is none."""
         return 0 if self.routes is None else self.routes.state.revision
 
     @property
     def runners_revision(self) -> int:
-        """As of which revision of the store the runners are known."""
+        """The revision of the store up to which the runners are known."""
         return self._directory.revision
 
     def knows(self, followed: ViewPart) -> bool:
-        """Whether a part of the view has been heard of at all."""
+        """Whether a part of the view has been received at all."""
         if followed is ViewPart.STATE:
             return self.routes is not None
         if followed is ViewPart.EVACUATIONS:
@@ -85,7 +88,7 @@
         return self.runners_revision > 0
 
     def directory_view(self) -> DirectoryView:
-        """Return the runners as they are handed to a peer."""
+        """Return the runners in the form that is sent to a peer."""
         now_ms = self._timers.now_ms()
         view = self._directory.view(now_ms=now_ms)
         records = tuple(
@@ -99,12 +102,13 @@
     def apply_state(
         self, state: DesiredState, *, source: str, is_zone_told: bool = False
     ) -> None:
-        """Put a desired state in force unless it is no newer.
+        """Apply a desired state if it is newer than the one in force.
 
-        A peer or a stale read may bring an older one. Going back would serve calls by
-        a version that callers have seen replaced.
+        A peer or a stale read may return an older state. Applying it would serve calls
+        by a version that callers have seen replaced.
 
-        What the sender has told the whole zone is not passed on.
+        With ``is_zone_notified``, the sender has sent the update to the whole zone, and
+        it is not broadcast again.
         """
         if state.revision <= self.state_revision:
             return
@@ -128,7 +132,7 @@
     def apply_runners(
         self, view: DirectoryView, *, source: str, is_zone_told: bool = False
     ) -> None:
-        """Take the whole list of runners as of a revision."""
+        """Apply a complete list of runners as of a revision."""
         words = self._unheard(view.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.replace(view, now_ms=self._timers.now_ms()):
@@ -142,7 +146,7 @@
     def apply_runner_changes(
         self, changes: DirectoryChanges, *, source: str, is_zone_told: bool = False
     ) -> None:
-        """Take what changed among the runners."""
+        """Apply changes of runners."""
         words = self._unheard(changes.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.apply(changes, now_ms=self._timers.now_ms()):
@@ -153,10 +157,10 @@
             self._on_news(self._with_lapses(changes))
 
     def record_draining(self, runner: Runner) -> DirectoryChanges | None:
-        """Take a runner's signal in an answer that it drains, and tell the zone.
+        """Record that a runner's answer signals that it drains, and notify the zone.
 
-        Returns the news, or None if it was known. The store may learn of it much later,
-        and the runner exits soon after that.
+        Returns the changes, or None if it was known. The runner's entry in the store
+        may be updated much later, and the runner exits soon after that.
         """
         news = self._directory.record_draining(runner)
         if news is not None:
@@ -167,32 +171,32 @@
     def apply_evacuations(
         self, view: EvacuationView, *, source: str, is_zone_told: bool = False
     ) -> None:
-        """Take all orders to empty zones as of a revision."""
+        """Apply a complete list of evacuated zones as of a revision."""
         change = self.evacuations.replace(view)
         self._apply_zones(change, source, is_zone_told=is_zone_told)
 
     def apply_evacuation_changes(
         self, changes: EvacuationChanges, *, source: str
     ) -> None:
-        """Take what changed among the orders."""
+        """Apply changes of the evacuated zones."""
         self._apply_zones(self.evacuations.apply(changes), source, is_zone_told=False)
 
     def follows_on(self, changes: DirectoryChanges) -> bool:
-        """Whether no change is missing between this view and the changes."""
+        """Whether no change is missing between this view and ``changes``."""
         return self._directory.is_contiguous_with(changes)
 
     def confirm(self, followed: ViewPart) -> None:
-        """Note that the store itself has just been heard on a part of this view."""
+        """Record that the store itself has just confirmed a part of this view."""
         now_ms = self._timers.now_ms()
         self._freshness.confirm(followed, now_ms=now_ms)
         self._directory.record_store_answer(at_ms=now_ms)
 
     def is_stale(self, followed: ViewPart) -> bool:
-        """Whether nobody has confirmed a part of this view for too long."""
+        """Whether a part of this view has not been confirmed for too long."""
         return self._freshness.is_stale(followed, now_ms=self._timers.now_ms())
 
     def ages(self) -> StoreAges:
-        """Return how long ago this view was known to be the store's newest."""
+        """Return how long ago each part was known to be the store's newest."""
         return self._freshness.ages(now_ms=self._timers.now_ms())
 
     def hear_ages(
@@ -203,7 +207,7 @@
         runners_revision: int,
         evacuations_version: int,
     ) -> None:
-        """Take over a peer's confirmation of revisions that are known here too."""
+        """Adopt a peer's confirmation of revisions that this view has reached."""
         now_ms = self._timers.now_ms()
         self._directory.record_store_answer(at_ms=now_ms - min(ages))
         if self.state_revision >= state_revision > 0:
@@ -218,15 +222,15 @@
             )
 
     def record_store_away(self) -> None:
-        """Note that the store does not answer this node."""
+        """Record that the store does not answer this node."""
         self._directory.record_store_failure()
 
     def record_store_back(self) -> None:
-        """Note that the store answers after it was away."""
+        """Record that the store answers this node again."""
         self._directory.record_store_recovery(now_ms=self._timers.now_ms())
 
     async def drop_lapsed(self) -> None:
-        """Drop runners whose entries lapsed in an outage and did not return."""
+        """Drop runners whose entries expired in an outage and were not renewed."""
         gone = self._directory.drop_lapsed(now_ms=self._timers.now_ms())
         if gone:
             self._apply("lapsed")
@@ -253,7 +257,7 @@
         self._on_runners()
 
     def _log_lapses(self, lapsed_before: set[str], source: str) -> None:
-        """Log the runners that have lapsed since the given set was read."""
+        """Log the runners that have lapsed since ``lapsed_before`` was read."""
         now_ms = self._timers.now_ms()
         for runner_id in sorted(self._directory.lapsed_ids() - lapsed_before):
             log_event(
@@ -288,10 +292,10 @@
             self._on_news(None)
 
     def _assume_cold(self, zone: str) -> None:
-        """Take the runners of a zone that returns for cold, whatever they last said.
+        """Treat the runners of a returning zone as cold, whatever they last reported.
 
-        They may have been restarted while nobody called them. Their word of it lags,
-        and the calls of all their prompts would meet them at once.
+        They may have been restarted while they got no calls. Their reports of that come
+        late, and they would get the calls of all their prompts at once.
         """
         now_ms = self._timers.now_ms()
         for record in self._directory.records():
@@ -299,15 +303,15 @@
                 self._cold.assume_cold(record.runner, now_ms=now_ms)
 
     def _unheard(self, records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
-        """Return the entries that are newer than what is known of their runners.
+        """Return the records that are newer than what is known of their runners.
 
-        Lists repeat what runners said long ago: a runner that counts as cold since then
-        would be taken for warm by its old word.
+        Lists repeat old records: a runner that has been treated as cold since then
+        would count as warm again.
         """
         return [record for record in records if self._directory.is_newer(record)]
 
     def _note_cold(self, records: list[RunnerRecord]) -> None:
-        """Take the runners' words on being cold, unless the directory refused them."""
+        """Record how long runners stay cold, except from records that were refused."""
         now_ms = self._timers.now_ms()
         for record in records:
             if self._directory.is_newest(record):
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
@@ -1,4 +1,4 @@
-"""The own entry of a node in the store, and the entries of the others."""
+"""Registration of a node in the store, and discovery of the other nodes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 MS_PER_S = 1000.0
 RETRY_PAUSE_MS = 1_000.0
-"""Nodes also meet by seeds and hellos, so the entry is in no hurry."""
+"""Nodes also find each other through seeds and hellos, so a retry may wait."""
 
 
 class NodeRegistration:
-    """Enter this node and greet all others that are entered.
+    """Register this node in the store, and greet all other registered nodes.
 
-    A process that starts again finds its entry as it left it. It reads an old list for
-    a tenth of a call's price and writes nothing; to try to create the entry, replace it
-    and read a new list were three calls for each start.
+    A restarted process finds its former entry. It reads a list that may be stale, at a
+    tenth of the price of a call, and writes nothing. Trying to create the entry,
+    replacing it and reading a current list would take three calls per start.
     """
 
     def __init__(
@@ -36,10 +36,10 @@
         self._introducer = introducer
         self._own = own
         self.registered = asyncio.Event()
-        """Set once the own entry is there and the others have been read."""
+        """Set once this node's entry exists and the other entries have been read."""
 
     async def register(self) -> None:
-        """Write the own entry, read the others'; goes on until both are done."""
+        """Write this node's entry and read the others; retry until both are done."""
         while not self.registered.is_set():
             try:
                 await self._enter()
@@ -53,7 +53,7 @@
         if self._own in await self._greet_listed(may_be_old=True):
             return
         await self._write()
-        # Nodes that start at the same moment are on no old list.
+        # A stale list lacks nodes that are starting at the same time.
         await self._greet_listed(may_be_old=False)
 
     async def _write(self) -> None:
@@ -61,7 +61,7 @@
         try:
             await self._store.create(names.NODES_KIND, self._own.node_id, spec)
         except RevisionConflictError:
-            # The entry of the process before this one; the address may be another.
+            # An earlier process wrote the entry, possibly with another address.
             await self._store.replace(names.NODES_KIND, self._own.node_id, spec)
 
     async def _greet_listed(self, *, may_be_old: bool) -> list[Node]:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_api.py
@@ -1,4 +1,4 @@
-"""What a node on the platform tells its operators: metrics, status, decisions."""
+"""HTTP endpoints for operators: metrics, status and routing decisions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class OperatorApi:
-    """Answer on the control port, which callers do not know."""
+    """Serve the operators' endpoints on the control port, which callers do not know."""
 
     def __init__(self, *, state: NodeState, io: EdgeIo) -> None:
         self._state = state
         self._io = io
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the pages."""
+        """Register the endpoints."""
         app.router.add_get(METRICS_PATH, self._metrics)
         app.router.add_get("/status", self._status)
         app.router.add_get("/explain", self._explain)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -1,4 +1,4 @@
-"""Hand desired state and runners to peers, and fetch them from peers."""
+"""Serve the desired state and the runners to peers, and fetch them from peers."""
 
 from __future__ import annotations
 
@@ -26,41 +26,39 @@
 
 STATE_PATH = "/peers/state"
 FETCH_TIMEOUT_S = 1.0
-"""A peer answers in milliseconds; another one is asked when the next gossip tells of
-something newer."""
-
-
+"""Peers answer in milliseconds. After a time-out the next peer whose gossip reports a
+newer revision is asked."""
 CONNECT_TIMEOUT_S = 0.25
-"""Several round trips between regions. A peer that is dark would hold up the fetch
-from the next for the whole time of a fetch."""
+"""Several round trips between regions. An unreachable peer would otherwise delay the
+fetch from the next one by FETCH_TIMEOUT_S."""
 MOST_FETCHES = 4
-"""Answers waited for at a time: more than one, in case the first peers are dead."""
+"""More than one, in case the first peers are dead."""
 PACKING_LEVEL = 1
-"""States repeat themselves: 127 kB for 1,400 alike routes pack to 8 kB in 0.7 ms, so
-the nodes of a zone can fetch them at once from one with a slow link."""
+"""States are repetitive: 127 kB for 1,400 similar routes compress to 8 kB in 0.7 ms, so
+that all nodes of a zone can fetch them at once from a node with a slow link."""
 UNPACKED_BYTES = 65_536
 
 
 class PeerState(NamedTuple):
-    """What a node knows that the asker does not."""
+    """The parts of a node's state that are newer than the peer's."""
 
     state: DesiredState | None
     runners: DirectoryView | None
     state_revision: int
     runners_revision: int
     ages: StoreAges
-    """How sure the sender is that its revisions are the newest."""
+    """How long ago the sender's revisions were known to be the newest."""
     crashes: list[CrashNote] = []
-    """Requests under which runners have ended."""
+    """Requests during which runners have crashed."""
     evacuations: EvacuationView | None = None
     evacuations_version: int = 0
 
 
 class PeerStateExchange:
-    """Own the exchange of states between nodes.
+    """Exchange state between nodes over HTTP.
 
-    The store may turn one node away and serve the others. Without its peers that node
-    would go on by an old state, seen as calls with withdrawn keys that still run.
+    The store may refuse one node and serve the others. Without its peers that node
+    would keep an old state and go on accepting withdrawn keys.
     """
 
     def __init__(self, *, view: FleetView, crashes: CrashTracker, seal: Seal) -> None:
@@ -72,7 +70,7 @@
         self._asked: set[str] = set()
 
     async def __aenter__(self) -> Self:
-        """Open the connections to peers."""
+        """Open the HTTP session for peers."""
         connector = aiohttp.TCPConnector(
             limit=0, force_close=True, socket_factory=open_socket
         )
@@ -81,16 +79,17 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close the connections."""
+        """Stop all fetches and close the HTTP session."""
         await self._tasks.__aexit__(*exc_info)
         if self._session is not None:
             await self._session.close()
 
     def fetch(self, address: str, *, is_zone_told: bool = False) -> None:
-        """Ask a peer's control address for what is newer.
+        """Start to fetch newer state from a peer's control address.
 
-        Several peers tell of the same change; whatever is still newer when these
-        answers are in is told again.
+        Several peers report the same change. Does nothing if this peer or the maximum
+        number of peers is being asked: a revision that is still newer after their
+        answers is reported again.
         """
         if address in self._asked or len(self._asked) >= MOST_FETCHES:
             return
@@ -100,7 +99,7 @@
         )
 
     async def answer(self, request: web.Request) -> web.Response:
-        """Answer a peer with what it does not know."""
+        """Return the state that is newer than the revisions in a peer's query."""
         try:
             state_revision = int(request.query.get("state", "0"))
             runners_revision = int(request.query.get("runners", "0"))
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
@@ -1,4 +1,4 @@
-"""Follow the operator's state and orders and the runners' entries in the store."""
+"""Watch the desired state, zone evacuations and runner entries in the store."""
 
 from __future__ import annotations
 
@@ -38,47 +38,52 @@
 WATCHES_A_BOUND = 8
 LEAST_WATCH_WAIT_MS = 1_000
 LONGEST_WATCH_WAIT_MS = 30_000
-"""A store that drops its history may leave a waiting watch deaf, without a word. All
-watchers together therefore ask anew eight times within the operator's bound for new
-states, whatever the fleet's size, and each answer is passed on."""
+"""A store that drops its history may leave a waiting watch without any answer. All
+watchers together therefore start a new watch eight times within the operator's bound on
+applying a new state, whatever the size of the fleet, and broadcast each answer."""
 PEERS_FIRST_MS = 250.0
-"""How long a node that starts, and is no watcher, leaves it to its peers to hand over
-state and runners: two calls less for each start. Peers that are up hand them over
+"""Time that a starting node waits for its peers to hand over the state and the runners,
+which saves a node that is not a watcher two store calls. Live peers hand them over
 within 25 ms."""
 AFTER_NEWS_MS = 80.0
-"""Pause after a change before the next watch. Changes come in bursts, as when runners
-are replaced in turn; each answer that holds one is a call and a round of news."""
+"""Delay after a change before the next watch. Changes come in bursts, for example when
+runners are replaced one by one; each answer with a change costs a store call and a
+broadcast."""
 FIRST_PAUSE_MS = 60.0
 LONGEST_PAUSE_MS = 500.0
 PAUSE_GROWTH = 1.6
-"""Pauses between a watcher's tries while the store is away: a cold fleet serves again
-within half a second of its return, for at most two calls a second and watcher."""
+"""Delays between a watcher's attempts while the store is unreachable. With them a fleet
+that has just started serves within half a second of the store's return, at the cost of
+at most two calls per second and watcher."""
 LONELY_PAUSE_MS = 1_200.0
-"""Pause between tries of a node that is no watcher: those try oftener and tell it."""
+"""Delay between attempts of a node that is not a watcher: watchers retry more often and
+broadcast the result."""
 IDLE_CHECK_MS = 100.0
-"""How often a node that is no watcher looks whether it must ask by itself."""
+"""Interval at which a node that is not a watcher checks whether it must read the store
+itself."""
 HEARTBEATS_A_WATCH = 2.0
-"""Longest watch of the runners' entries, in heartbeats. Entries lapse after three: an
-outage that lets them lapse is then noticed by each watcher's own calls, before the
-watch that waited through it could show them as ended."""
+"""Maximum duration of a watch of the runner entries, in heartbeats. Entries expire
+after three. In an outage long enough for that, each watcher sees a call of its own fail
+before a watch that waited through the outage can report the entries as removed."""
 
 
 class FollowedKind(NamedTuple):
-    """A kind of the store's objects, and the part of the view that it feeds."""
+    """An object kind of the store, and the part of the view that it updates."""
 
     kind: str
     part: ViewPart
     longest_wait_ms: float
     apply_within_ms: float
-    """The operator's bound on how soon a change is in force."""
+    """The operator's bound on how soon a change takes effect."""
 
 
 class StoreWatcher:
-    """Own a task a kind; each lists, then watches, and lists again after a gap.
+    """Run one task per object kind that lists, then watches, and lists after a gap.
 
-    Only a node that has the duty watches. Any other one asks once when it knows nothing
-    yet, when nobody has confirmed its view for too long, and while it last found the
-    store away: what it believes of an outage decides about entries that lapse.
+    Only watchers watch the store continuously. Any other node reads it once if it has
+    no view yet, if its view has not been confirmed for too long, and while its latest
+    call failed: whether the store is in an outage decides how the node treats entries
+    that expire.
     """
 
     def __init__(
@@ -96,7 +101,7 @@
         apply_within_ms: float,
         evacuate_within_ms: float | None,
     ) -> None:
-        """Take the parts; before ``entered`` is set nobody knows who has the duty."""
+        """Initialize the watcher; ``registered`` is set once the watchers are known."""
         self._store = store
         self._view = view
         self._news = broadcaster
@@ -137,7 +142,7 @@
         self._asks_from_s = 0.0
 
     async def __aenter__(self) -> Self:
-        """Begin to follow."""
+        """Start the tasks."""
         await self._tasks.__aenter__()
         self._asks_from_s = (
             asyncio.get_running_loop().time() + PEERS_FIRST_MS / MS_PER_S
@@ -147,7 +152,7 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End the tasks."""
+        """Stop the tasks."""
         await self._tasks.__aexit__(*exc_info)
 
     async def _follow(self, followed: FollowedKind) -> None:
@@ -173,8 +178,8 @@
                 pause_ms = min(LONGEST_PAUSE_MS, pause_ms * PAUSE_GROWTH)
                 continue
             except Exception as error:
-                # A fault of ours must not leave the node deaf for good: seen as
-                # withdrawn keys that still run. It lists anew, and the log tells.
+                # An unexpected error must not end the task: the node would miss all
+                # later changes and go on accepting withdrawn keys.
                 log_failure(Event.TASK_FAILED, error, task=f"follow_{kind}")
                 self._positions.pop(kind, None)
                 await self._pause(LONGEST_PAUSE_MS)
@@ -186,7 +191,7 @@
             async with asyncio.timeout(PEERS_FIRST_MS / MS_PER_S):
                 await self._entered.wait()
         except TimeoutError:
-            return  # the store is slow or away; the node asks like any other
+            return  # the store is slow or unreachable, and is read as it is
 
     def _must_ask(self, followed: FollowedKind) -> bool:
         if followed.kind in self._unreachable_kinds or self._has_duty():
@@ -208,8 +213,9 @@
             self._confirm(followed, listed.revision)
             self._take_list(kind, listed.entries, listed.revision)
             return
-        # From what this node itself has heard, not from what peers have told: one that
-        # was cut off tells an end as a lapse, and the store's own word mends that.
+        # Continues from the last revision that this node read itself. Peers may know a
+        # newer one, but a peer that was cut off reports a removal as an expired entry,
+        # and only the store's own answer corrects that.
         position = self._positions[kind]
         seen = await self._watch(kind, position, self._wait_ms(followed))
         if seen is None:
@@ -229,9 +235,9 @@
     async def _watch(
         self, kind: str, position: int, wait_ms: int
     ) -> EntryChanges | None:
-        """Watch a kind; return None when another kind's trouble ends the watch.
+        """Watch a kind; return None if an error on another kind ends the watch.
 
-        Trouble with one watch is the only sign of what the others have missed.
+        An error on one watch is the only sign that the others have missed changes.
         """
         nudge = self._nudges[kind]
         nudge.clear()
@@ -252,10 +258,11 @@
                 nudge.set()
 
     def _wait_ms(self, followed: FollowedKind) -> int:
-        """Return how long to watch; 0 where the first answer already says all.
+        """Return how long the store may hold a watch open; 0 for an answer at once.
 
-        After an outage it tells that the store is there again, which decides about
-        entries that lapsed meanwhile. A node without the duty only looks once.
+        After an outage the first answer shows that the store is back, which decides how
+        to treat entries that expired meanwhile. A node that is not a watcher reads the
+        changes once.
         """
         if followed.kind in self._unreachable_kinds or not self._has_duty():
             return 0
@@ -332,7 +339,7 @@
         self._view.apply_state(state, source="store")
 
     def _decode_runner(self, entry: StoredEntry) -> RunnerRecord | RunnerRemoval:
-        """Return what an entry says, or the end of what bore its name before."""
+        """Return an entry's runner, or a removal if the entry is invalid."""
         try:
             return decode_runner(entry, region=self._region)
         except FormatError as error:
@@ -340,7 +347,7 @@
             return RunnerRemoval(entry.name, entry.revision, is_refused=True)
 
     def _note_duty(self, followed: FollowedKind) -> None:
-        """Log what decides whether this node asks the store, when it changes."""
+        """Log changes of this node's watcher role, and when its view becomes stale."""
         kind = followed.kind
         has_duty = self._has_duty()
         if self._duties.get(kind) is not has_duty:
@@ -372,7 +379,7 @@
 
 
 def _decode_order_changes(seen: EntryChanges) -> EvacuationChanges:
-    """Return the last word on each zone: one may be emptied and returned in between."""
+    """Return the last change of each zone: a watch may report several of them."""
     last = {change.entry.name: change for change in seen.changes}
     given = tuple(
         _decode_order(change.entry) for change in last.values() if not change.is_deleted
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
@@ -1,4 +1,4 @@
-"""Tell the nodes of the own zone what the store told this one."""
+"""Broadcast updates from the store to the nodes of the zone."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
 
 MOST_NOTES = 8
-"""Changes that go along with the news: eight alike ones make a datagram of 607 bytes,
-so longer names fit into 1.4 kB as well. Nodes fetch more than that from the sender."""
+"""Maximum number of runner changes in a broadcast; receivers fetch larger sets from the
+sender. Eight changes make a datagram of 607 bytes, which leaves room for longer names
+below 1.4 kB."""
 
 
 class UpdateBroadcaster:
-    """Pass on what the store told, and how sure this node is that it is the newest.
+    """Broadcast store updates, and how long ago each was known to be the newest.
 
-    With a watch of its own on each node the calls to the store grow with the fleet: on
-    59 nodes they cost a sixth of all that was earned, and each change woke every node
-    twice. One or two nodes a zone watch instead, and tell the rest of it. Whoever
-    learns of a change in another way than from its zone tells the zone as well: a zone
-    whose watchers are cut off hears of it by gossip once.
+    If every node watched the store, the calls to it would grow with the fleet: with 59
+    nodes they cost a sixth of all earnings, and each change woke every node twice. One
+    or two nodes per zone watch instead and notify the others. A node that learns of a
+    change from outside its zone also notifies the zone: if the watchers of a zone are
+    cut off, one node that receives the change by gossip is enough.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         socket.handle(StoreNews, self._receive)
 
     def broadcast(self, changes: DirectoryChanges | None = None) -> None:
-        """Tell the zone the versions known here, with changes of runners if any."""
+        """Send the zone the revisions known here, with changes of runners if any."""
         own = self._membership.local_node
         peers = [
             PeerAddress.of(node)
@@ -60,7 +61,7 @@
             self._socket.send_all(peers, self._news(changes))
 
     def send_to(self, node: Node, changes: DirectoryChanges) -> None:
-        """Tell one node, which passes it on to its zone if that is another one."""
+        """Send changes to one node, which notifies its zone if that is another one."""
         if node != self._membership.local_node:
             self._socket.send(PeerAddress.of(node), self._news(changes))
 
@@ -69,8 +70,9 @@
         known = self._view.runners_revision
         if changes is None or _size(changes) > MOST_NOTES:
             changes = DirectoryChanges(known, known, (), ())
-        # The view may be newer than these changes: told as all up to its revision, they
-        # would hide what lies between, and a leaving runner would go on getting calls.
+        # The view may be newer than these changes. Sent with the revision of the view,
+        # they would hide the changes in between, and a leaving runner would go on
+        # getting calls.
         is_newest = changes.revision == known
         return StoreNews(
             self._view.state_revision,
@@ -93,8 +95,8 @@
             sender.availability_zone == self._membership.local_node.availability_zone
         )
         changes = _changes_of(news)
-        # Also news of a revision that is known: another watcher may know better whether
-        # an entry ended or lapsed.
+        # Also applies changes of a known revision: another watcher may know better
+        # whether an entry was removed or expired.
         if _size(changes) and self._view.follows_on(changes):
             self._view.apply_runner_changes(
                 changes, source=sender.node_id, is_zone_told=is_zone_told
--- a/packages/clementineyoke-node/tests/edge/news.feature
+++ b/packages/clementineyoke-node/tests/edge/news.feature
@@ -1,95 +1,86 @@
-Feature: A few nodes watch the store and tell the others
+Feature: A few nodes watch the store and broadcast its updates
 
-  Scenario: A change reaches nodes that do not watch
-    Given a fleet of 4 nodes and 1 runner that know of one another
+  Scenario: A change reaches nodes that do not watch the store
+    Given a fleet of 4 nodes and 1 runner whose nodes know each other
     When the operator withdraws the key
-    Then all nodes refuse it within 1 s
-    And nodes 2 and 3 have not asked the store again
+    Then all nodes reject the key within 1 s
+    And nodes 2 and 3 have made no further store calls
 
   Scenario: A runner joins and leaves
-    Given a fleet of 4 nodes and 1 runner that know of one another
-    When a runner's entry comes, says that it leaves, and ends
-    Then node 3 has followed each of the three
-    And nodes 2 and 3 have not asked the store again
+    Given a fleet of 4 nodes and 1 runner whose nodes know each other
+    When a runner's entry is added, marked as draining and removed
+    Then node 3 has applied each of the three changes
+    And nodes 2 and 3 have made no further store calls
 
-  Scenario: The zone's watchers fall silent
-    # Symptom: calls with a withdrawn key run for minutes on some nodes.
-    # Sequence: both watchers of a zone stop hearing the store, and stay alive for their
-    #   peers; the operator withdraws a key.
-    # Cause: the others took their silence for "nothing has changed".
-    Given a fleet of 4 nodes and 1 runner that know of one another
-    When nodes 0 and 1 stop hearing the store
+  Scenario: The watchers of a zone stop receiving store updates
+    # Guards against a withdrawn key that some nodes accept for minutes: both watchers of
+    # a zone lose the store but stay alive for their peers, which take the silence for
+    # "nothing has changed".
+    Given a fleet of 4 nodes and 1 runner whose nodes know each other
+    When nodes 0 and 1 stop receiving store updates
     And the operator withdraws the key
-    Then node 3 refuses it within 3 s
+    Then node 3 rejects the key within 3 s
 
-  Scenario: A node starts again beside its peers
-    # Symptom: a restart of 195 nodes makes 1,000 calls to the store within a second.
-    # Sequence: each process writes its entry, which is there already, and reads the
-    #   nodes, the desired state and the runners.
-    # Cause: a start asked the store for what any peer could hand over.
-    Given a fleet of 4 nodes and 1 runner that know of one another
-    When node 3 starts again
-    Then it serves calls within 1 s
-    And it has asked the store once, for a list that may be old
+  Scenario: A node restarts while its peers are running
+    # Guards against 1,000 store calls within a second when 195 nodes restart: each process
+    # writes its entry, which exists already, and reads the nodes, the desired state and
+    # the runners, which any peer could hand over.
+    Given a fleet of 4 nodes and 1 runner whose nodes know each other
+    When node 3 restarts
+    Then it is ready within 1 s
+    And it has called the store once, for a list that may be stale
 
-  Scenario: The strongest hosts of a zone watch
-    # Pattern: a zone of unequal hosts; a watcher tells each change to all of the zone.
-    # Symptom: news are late by the queue on a link of 5 Mbit.
-    # Cause: watchers were chosen by their names.
-    Given 9 nodes in 3 zones, of which node-7 and node-8 are strong
+  Scenario: The hosts with the highest capacity in a zone become watchers
+    # Guards against updates that are delayed by the queue on a link of 5 Mbit/s: a watcher
+    # sends each change to its whole zone, so it must not be chosen by its name.
+    Given 9 nodes in 3 zones, node-7 and node-8 with most capacity
     Then node-7 and node-8 are watchers, with 4 others
-    Given 10 nodes in 5 zones, of which node-7 and node-8 are strong
+    Given 10 nodes in 5 zones, node-7 and node-8 with most capacity
     Then node-7 and node-8 are watchers, with 3 others
 
-  Scenario: News are lost on the way
-    # Symptom: a node never hears of a runner that joined.
-    # Sequence: the datagram with the change is lost; later news carry later changes.
-    # Cause: changes were put in force without looking whether one was missing.
-    Given a fleet of 3 nodes and 1 runner that know of one another
-    When node 2 misses the news that a runner joined
+  Scenario: An update is lost
+    # Guards against a node that never learns of a new runner: the datagram with the change
+    # is lost, and later changes are applied without a check for a missing one.
+    Given a fleet of 3 nodes and 1 runner whose nodes know each other
+    When node 2 misses the update that adds a runner
     Then node 2 knows the runner within 2 s
 
-  Scenario: Entries lapse in an outage
-    # Symptom: nodes that do not watch refuse everything after an outage of the store.
-    # Sequence: entries lapse in the outage; the watchers are back first and tell of it.
-    # Cause: what the watchers told was taken for the runner's end.
-    Given a fleet of 4 nodes and 1 runner that know of one another
-    When an outage that all have noticed lets the runner's entry lapse, and ends
+  Scenario: Entries expire in a store outage
+    # Guards against nodes that refuse all calls after an outage of the store: the watchers
+    # recover first and broadcast expired entries, which the others take for removed ones.
+    Given a fleet of 4 nodes and 1 runner whose nodes know each other
+    When the runner's entry expires in an outage that all nodes notice, and it ends
     Then calls at node 3 are still served
 
-  Scenario: A watcher knows more than its own watch has shown
-    # Symptom: a call reaches a runner 2.02 s after it said that it leaves.
-    # Sequence: a peer tells a watcher of revision 13; the watcher's own answer, under way
-    #   meanwhile, shows the changes from 10 to 12; it tells them as all up to 13. A node
-    #   that hears this first takes the peer's news of 13 for old.
-    # Cause: news of changes were told with the revision of the whole view.
-    Given a watcher that a peer has told of the runners up to revision 13
-    When its own watch shows the changes from 10 to 12
-    Then the changes that it tells its zone end at revision 12
+  Scenario: A watcher knows a newer revision than its own watch returns
+    # Guards against a call to a runner 2.02 s after its entry says that it leaves. A peer
+    # has sent a watcher revision 13, and the watcher's own watch returns the changes from
+    # 10 to 12. Broadcast as all changes up to 13, they make a node that gets them first
+    # ignore the peer's update to 13.
+    Given a watcher that has the runners up to revision 13 from a peer
+    When its own watch returns the changes from 10 to 12
+    Then the changes that it broadcasts end at revision 12
 
-  Scenario: A watcher tells of an entry that lapsed
-    # Symptom: a node that was not hit by an outage drops runners that yet live.
-    # Sequence: a watcher sees an entry end right after an outage, and holds the runner;
-    #   a node that has met no outage itself hears of the end.
-    # Cause: the news did not say that the entry may have lapsed.
-    Given a watcher that holds a runner, after an outage of the store
-    When its own watch shows the end of the runner's entry
-    Then the news say that it may have lapsed
+  Scenario: A watcher broadcasts the removal of an entry that may have expired
+    # Guards against a node that drops live runners: a watcher sees an entry removed right
+    # after an outage and keeps the runner, and a node without an outage of its own learns
+    # of the removal only.
+    Given a watcher that knows a runner, after a store outage
+    When its own watch returns the removal of the runner's entry
+    Then the update says that the entry may have expired
 
-  Scenario: The second of two news is the better one
-    # Symptom: a call reaches a runner 2.2 s after its entry has ended.
-    # Sequence: a watcher that was cut off tells of the end as a lapse; one that was not
-    #   tells of the same revision a moment later.
-    # Cause: news of a revision that was known already were not looked at.
-    Given a node that two watchers tell of the end of a runner, the first as a lapse
-    Then it knows the runner no more
+  Scenario: The second update of a revision corrects the first
+    # Guards against a call to a runner 2.2 s after its entry was removed: a watcher that
+    # was cut off reports the removal as an expiry, and the correct report of the same
+    # revision by another watcher is ignored as known.
+    Given a node to which two watchers report a removed runner, the first as expired
+    Then it no longer knows the runner
 
-  Scenario: A watcher hears of an end from a peer that was cut off
-    # Symptom: a call reaches a runner 2.2 s after its entry has ended, also from nodes
-    #   that were never cut off.
-    # Sequence: a watcher is back from a cut; it sees an entry end and tells it as a
-    #   lapse; another watcher hears so between two of its own watches.
-    # Cause: it watched on from the revision that it was told, and never saw the end.
-    Given a fleet of 2 nodes and 1 runner that know of one another
-    When a peer tells node 0 of a runner's end as a lapse, between two of its watches
-    Then node 0 knows the runner no more within 1 s
+  Scenario: A watcher gets a removal from a peer that was cut off
+    # Guards against a call to a runner 2.2 s after its entry was removed, even from nodes
+    # that were never cut off. A watcher that was cut off reports a removal as an expiry to
+    # another watcher, which continues its own watch after that revision and never sees
+    # the removal itself.
+    Given a fleet of 2 nodes and 1 runner whose nodes know each other
+    When a peer reports a removed runner as expired to node 0, between two watches
+    Then node 0 drops the runner within 1 s
--- a/packages/clementineyoke-node/tests/edge/store_entries.feature
+++ b/packages/clementineyoke-node/tests/edge/store_entries.feature
@@ -1,61 +1,59 @@
-Feature: What other writers put into the store
+Feature: Invalid objects in the store
 
-  Scenario Outline: An entry that names no runner to use
-    # Symptom: a node goes deaf to all changes, or calls go to nobody's address.
-    # Sequence: another writer puts an entry among those of the runners.
-    # Cause: entries were decoded as far as they went, and an exception of one of them
-    #   ended the task that follows the runners.
-    When a page holds a good entry and one with <fault>
-    Then the good entry names a runner, and the other one is refused
+  Scenario Outline: An entry that describes no usable runner
+    # Guards against a node that misses all later changes, or calls an address that is not
+    # a runner's: another writer adds an invalid entry, which is decoded in part or raises
+    # an exception that ends the task that follows the runners.
+    When a page has a valid entry and one with <fault>
+    Then the valid entry describes a runner, and the other one is rejected
 
     Examples:
-      | fault                   |
-      | no state                |
-      | an unknown state        |
-      | a number as its address |
-      | an address of no host   |
-      | a port out of range     |
-      | a text as its slots     |
-      | no service              |
-      | a text as its birth     |
-      | a broken birth          |
-      | no sequence             |
-      | a list in place of all  |
-      | bytes that are no text  |
-
-  Scenario Outline: An object that does not say which one it is
-    When a page holds a good entry and an object with <fault>
-    Then the page has the good entry and 1 unreadable object
+      | fault                        |
+      | no state                     |
+      | an unknown state             |
+      | a number as its address      |
+      | an address without an IP     |
+      | a port out of range          |
+      | a string as its slots        |
+      | no service                   |
+      | a string as its start time   |
+      | a fraction as its start time |
+      | no sequence                  |
+      | a list instead of an object  |
+      | bytes that are not UTF-8     |
+
+  Scenario Outline: An object without a valid name or revision
+    When a page has a valid entry and an object with <fault>
+    Then the page has the valid entry and 1 unreadable object
 
     Examples:
-      | fault                     |
-      | no metadata               |
-      | a number as its name      |
-      | a text as its revision    |
+      | fault                    |
+      | no metadata              |
+      | a number as its name     |
+      | a string as its revision |
 
-  Scenario: A page with numbers that are none
-    When a page holds a good entry and a content that strict JSON does not know
-    Then the good entry names a runner, and the other one is refused
+  Scenario: A page with a NaN
+    When a page has a valid entry and one that is not strict JSON
+    Then the valid entry describes a runner, and the other one is rejected
 
-  Scenario: Anything may lie in the store
-    Then no bytes make a decoder raise anything but the error it declares
-    And nothing that lies beside a good entry hides it
+  Scenario: The store holds arbitrary data
+    Then no input makes a decoder raise any error but the one it declares
+    And no object next to a valid entry hides it
 
-  Scenario: A good entry turns bad while a node watches
+  Scenario: A valid entry becomes invalid while a node watches
     Given a fleet of 1 node and 2 runners
-    When another writer puts a number in place of the address of runner 0
+    When another writer replaces the address of runner 0 with a number
     Then the node knows 1 runner within 1 s, and calls are still served
-    When runner 0 enters itself again
+    When runner 0 registers again
     Then the node knows 2 runners within 2 s
 
-  Scenario: A runner starts anew under its id and address
-    # Symptom: a call that must not run twice is lost on a connection to what was there.
-    # Sequence: a runner answers, dies and is back at the same address under the same
-    #   id; the next call takes the connection that was kept.
-    # Cause: connections were kept by address, whoever was there.
+  Scenario: A runner restarts under its id and address
+    # Guards against losing a call that must not run twice: a runner answers, dies and is
+    # back at the same address under the same id, and the next call takes a connection
+    # that was kept from before.
     Given a fleet of 1 node and 1 runner
-    And runner 0 resets what comes on a connection that has rested
+    And runner 0 resets calls on idle connections
     When a caller makes a "non_idempotent" call
-    And runner 0 starts anew under its id
+    And runner 0 restarts under its id
     And a caller makes a "non_idempotent" call
-    Then the caller gets 200 from a connection of the new lifetime
+    Then the caller gets 200 on a connection of the new lifetime
--- a/packages/clementineyoke-node/tests/steps/early_start_steps.py
+++ b/packages/clementineyoke-node/tests/steps/early_start_steps.py
@@ -13,7 +13,7 @@
 from clementineyoke_standins.soak.loopback import free_ports
 
 
-@when("a process opens its doors first and loads its modules after that")
+@when("a process opens its listening sockets before it loads its modules")
 def open_early(context):
     (port,) = free_ports(1)
     address = f"127.0.0.1:{port}"
@@ -23,7 +23,7 @@
             host, port = address.split(":")
             caller = socket.create_connection((host, int(port)), timeout=2)
             caller.sendall(b"a call")
-            # The modules are loaded here; then the loop takes the door.
+            # A node loads its modules here; then the event loop takes the socket.
             server = await asyncio.start_server(echo, sock=start.take(address))
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
@@ -46,12 +46,12 @@
     writer.close()
 
 
-@then("a caller that connects meanwhile is answered once they are loaded")
+@then("a caller that connects in between is answered once they are loaded")
 def check_reply(context):
     assert context.reply == b"a call"
 
 
-@when("a node's process is told to stop while it starts")
+@when("a node's process gets SIGTERM while it starts")
 def stop_at_start(context):
     loading = (
         "import os, signal\n"
@@ -65,13 +65,13 @@
     )
 
 
-@then("it goes on to start and knows of the order")
+@then("it continues to start and has recorded the stop request")
 def check_order(context):
     assert context.started.returncode == 0, context.started
     assert context.started.stdout == b"True\n"
 
 
-@when("a process opens a door whose address is taken")
+@when("a process opens a listening socket at an address that is in use")
 def open_taken(context):
     with socket.socket() as holder:
         holder.bind(("127.0.0.1", 0))
@@ -91,13 +91,13 @@
         )
 
 
-@then("it goes on without it")
+@then("it continues without that socket")
 def check_without(context):
     assert context.started.stdout == b"None\n", context.started
     assert door_addresses(["--doors=a:1,b:2", "x"]) == ["a:1", "b:2"]
 
 
-@when("a node starts and a caller's call comes before its state")
+@when("a node starts and a call arrives before its state")
 def call_before_state(context):
     async def act():
         fleet = context.fleet
@@ -106,4 +106,4 @@
         context.answer = await fleet.call("idempotent")
 
     context.run(act())
-    assert not context.was_ready, "the state came before the call"
+    assert not context.was_ready, "the state arrived before the call"
--- a/packages/clementineyoke-node/tests/steps/edge_fleet.py
+++ b/packages/clementineyoke-node/tests/steps/edge_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes of the platform with stand-ins on loopback, all in the test's event loop."""
+"""A fleet of nodes with stand-ins on loopback, all in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class EdgeFleet:
-    """Own a store, runners and nodes."""
+    """Run a store, runners and nodes on loopback addresses."""
 
     def __init__(
         self, *, nodes=1, runners=2, zones=("zone",), cold=None, node_zones=("zone",)
@@ -54,11 +54,11 @@
         self.store = EdgeStore()
         self.runners = [EdgeRunner(runner_id=f"runner-{n}") for n in range(runners)]
         self.zones = zones
-        """Where the runners are, in turn."""
+        """Zones to which the runners are assigned in turn."""
         self.node_zones = node_zones
-        """Where the nodes are, in turn."""
+        """Zones to which the nodes are assigned in turn."""
         self.cold = cold or {}
-        """What the state says of runners after their start."""
+        """Fields of the desired state that limit calls to cold runners."""
         self.nodes = []
         self.stops = []
         self._count = nodes
--- a/packages/clementineyoke-node/tests/steps/evacuation_steps.py
+++ b/packages/clementineyoke-node/tests/steps/evacuation_steps.py
@@ -23,7 +23,8 @@
 
 KIND = "evacuations"
 PROBES = 12
-"""Calls without a prompt go anywhere: so many miss one of two runners once in 4,000."""
+"""Calls without a prompt go to any runner: this many miss one of two runners with a
+probability of 1 in 4,000."""
 
 
 def start_fleet(context, nodes, runners, zones):
@@ -33,7 +34,7 @@
     context.add_cleanup(lambda: context.run(fleet.__aexit__(None, None, None)))
 
 
-@given("a view of a node that follows the orders")
+@given("a node's view that follows evacuations")
 def given_view(context):
     context.cold = ColdRunners()
     context.timers = TimerService()
@@ -49,14 +50,14 @@
     )
 
 
-@when("it is told the desired state and the runners")
+@when("it gets the desired state and the runners")
 def tell_state(context):
     spec = msgspec.json.encode(make_state(1, make_route("idempotent")))
     context.view.apply_state(decode_state(spec, revision=1), source="peer")
     context.view.apply_runners(DirectoryView(2, ()), source="peer")
 
 
-@when('it is told the desired state and a runner in "{zone}"')
+@when('it gets the desired state and a runner in "{zone}"')
 def tell_runner(context, zone):
     state = make_state(1, make_route("idempotent"), cold_s=3.0, cold_calls_per_s=9.0)
     spec = msgspec.json.encode(state)
@@ -66,20 +67,20 @@
     context.view.apply_runners(DirectoryView(2, (context.record,)), source="peer")
 
 
-@when('"{zone}" is emptied and returns')
+@when('"{zone}" is evacuated and returns')
 def empty_and_return(context, zone):
     orders = EvacuationView(3, (EvacuatedZone(zone, 3),))
     context.view.apply_evacuations(orders, source="peer")
     context.view.apply_evacuations(EvacuationView(4), source="peer")
 
 
-@when("the same entry is told again")
+@when("it gets the same entry again")
 def tell_again(context):
     changes = DirectoryChanges(0, 5, (context.record,), ())
     context.view.apply_runner_changes(changes, source="peer")
 
 
-@when("the runner says that it is warm")
+@when("the runner reports that it is warm")
 def say_warm(context):
     record = context.record._replace(revision=6)
     changes = DirectoryChanges(5, 6, (record,), ())
@@ -99,7 +100,7 @@
     assert not context.cold.remaining_ms(context.record.runner, now_ms=now_ms)
 
 
-@when("it is told that no zone is emptied")
+@when("it gets an empty list of evacuations")
 def tell_no_orders(context):
     context.view.apply_evacuations(EvacuationView(2), source="peer")
 
@@ -129,23 +130,23 @@
     context.revision = context.run(context.fleet.store.put(KIND, zone, {}))
 
 
-@when('the operator empties "{zone}"')
+@when('the operator evacuates "{zone}"')
 def empty_one(context, zone):
     empty(context, zone)
 
 
-@when('the operator empties both, "{one}" and "{two}"')
+@when('the operator evacuates both "{one}" and "{two}"')
 def empty_two(context, one, two):
     empty(context, one)
     empty(context, two)
 
 
-@when('the operator takes "{zone}" back')
+@when('the operator ends the evacuation of "{zone}"')
 def take_back(context, zone):
     context.run(context.fleet.store.remove(KIND, zone))
 
 
-@when('the operator empties "{zone}", takes it back and empties it again')
+@when('the operator evacuates "{zone}", ends the evacuation and evacuates it again')
 def empty_again(context, zone):
     async def run():
         await context.fleet.store.put(KIND, zone, {})
@@ -157,13 +158,13 @@
     context.run(run())
 
 
-@when('the store turns node {number:d} away and the operator empties "{zone}"')
+@when('the store refuses node {number:d} and the operator evacuates "{zone}"')
 def turn_away(context, number, zone):
     context.fleet.store.turned_away.add(f"127.0.0.{number + 2}")
     empty(context, zone)
 
 
-@when('watches hear nothing while the operator empties "{zone}"')
+@when('watches get no answer while the operator evacuates "{zone}"')
 def empty_deaf(context, zone):
     async def run():
         store = context.fleet.store
@@ -177,7 +178,7 @@
     context.run(run())
 
 
-@when("the store goes silent and node {number:d} starts")
+@when("the store stops answering and node {number:d} starts")
 def start_without_store(context, number):
     async def run():
         node = context.fleet.nodes[0]
@@ -199,7 +200,7 @@
 
 
 async def probe(context, number):
-    """Make calls at a node one after the other."""
+    """Make sequential calls at a node."""
     for count in range(PROBES):
         call_id = f"probe-{number}-{time.monotonic()}-{count}"
         context.answer = await context.fleet.call(
@@ -246,7 +247,7 @@
     assert len(seen_in(context, zone)) == before
 
 
-@when('the operator empties "{zone}" in the midst of a stream')
+@when('the operator evacuates "{zone}" during a stream')
 def empty_midway(context, zone):
     async def run():
         stream = asyncio.ensure_future(context.fleet.call("streaming"))
@@ -257,14 +258,14 @@
     context.run(run())
 
 
-@then("the stream is whole")
+@then("the stream is complete")
 def check_stream(context):
     status, _, body = context.answer
     assert (status, body) == (200, WHOLE_STREAM), context.answer
 
 
-@then("calls are refused within {limit:g} s as not run, to return after {back:g} s")
-def check_refused(context, limit, back):
+@then("calls are refused within {limit:g} s with a Retry-After of {retry_after_s:g} s")
+def check_refused(context, limit, retry_after_s):
     async def run():
         node = context.fleet.nodes[0]
         await wait_until(lambda: len(node.state.table.evacuated_zones()) == 2, 2)
@@ -272,12 +273,12 @@
         status, headers, _ = await context.fleet.call("non_idempotent")
         assert time.monotonic() - began_s < limit
         assert status == 503
-        assert float(headers["Retry-After"]) == back
+        assert float(headers["Retry-After"]) == retry_after_s
 
     context.run(run())
 
 
-@when("the runners break off each stream")
+@when("the runners cut off each stream")
 def break_streams(context):
     async def run():
         node = context.fleet.nodes[0]
@@ -295,17 +296,17 @@
     try:
         await context.fleet.call("streaming", call_id=f"stream-{number}")
     except OSError:
-        return  # the stream broke off for good, as it must
-    except Exception as error:  # noqa: BLE001 - aiohttp's own classes for a broken body
+        return  # expected: no other runner can resume the stream
+    except Exception as error:  # noqa: BLE001 - aiohttp's own errors for a cut body
         assert "payload" in repr(error).lower(), error
 
 
-@then('no second try reaches a runner in "{zone}"')
+@then('no retry reaches a runner in "{zone}"')
 def check_no_second(context, zone):
     assert len(seen_in(context, zone)) == context.before
 
 
-@then('the decision on the last call names "{zone}" and the order\'s revision')
+@then('the decision on the last call names "{zone}" and the revision of its evacuation')
 def check_explained(context, zone):
     found = context.fleet.nodes[0].state.decisions.find(context.call_id)
     routed = [line["fields"] for line in found if line["event"] == "routed"]
--- a/packages/clementineyoke-node/tests/steps/news_steps.py
+++ b/packages/clementineyoke-node/tests/steps/news_steps.py
@@ -30,7 +30,7 @@
 from clementineyoke_wire.messages import RemovalNote, StoreNews
 
 
-@given("a fleet of {nodes:d} nodes and {runners:d} runner that know of one another")
+@given("a fleet of {nodes:d} nodes and {runners:d} runner whose nodes know each other")
 def given_acquainted(context, nodes, runners):
     fleet = EdgeFleet(nodes=nodes, runners=runners)
     context.run(fleet.__aenter__())
@@ -40,20 +40,20 @@
 
     async def settle():
         await wait_until(lambda: all(len(m.alive()) == nodes for m in memberships), 5)
-        # A watch that was begun before the others were known ends by itself.
+        # Watches that began before the nodes knew each other end in this time.
         await asyncio.sleep(1.2)
 
     context.run(settle())
     context.calls_before = [node.io.store.calls for node in fleet.nodes]
 
 
-@then("all nodes refuse it within {limit:d} s")
+@then("all nodes reject the key within {limit:d} s")
 def check_all_refuse(context, limit):
     for number in range(len(context.fleet.nodes)):
         context.run(refused(context, number, limit))
 
 
-@then("node {number:d} refuses it within {limit:d} s")
+@then("node {number:d} rejects the key within {limit:d} s")
 def check_refuses(context, number, limit):
     context.run(refused(context, number, limit))
 
@@ -61,17 +61,17 @@
 async def refused(context, number, limit):
     ends = time.monotonic() + limit
     while (await context.fleet.call("idempotent", number=number))[0] != 401:
-        assert time.monotonic() < ends, f"node {number} still serves the key"
+        assert time.monotonic() < ends, f"node {number} still accepts the key"
         await asyncio.sleep(0.02)
 
 
-@then("nodes 2 and 3 have not asked the store again")
+@then("nodes 2 and 3 have made no further store calls")
 def check_not_asked(context):
     calls = [node.io.store.calls for node in context.fleet.nodes]
     assert calls[2:] == context.calls_before[2:], (calls, context.calls_before)
 
 
-@when("node {number:d} starts again")
+@when("node {number:d} restarts")
 def start_again(context, number):
     async def act():
         fleet = context.fleet
@@ -83,19 +83,19 @@
     context.run(act())
 
 
-@then("it serves calls within {limit:d} s")
+@then("it is ready within {limit:d} s")
 def check_serves(context, limit):
     context.run(asyncio.wait_for(context.started.io.view.ready.wait(), limit))
 
 
-@then("it has asked the store once, for a list that may be old")
+@then("it has called the store once, for a list that may be stale")
 def check_asked_once(context):
-    context.run(asyncio.sleep(0.5))  # twice what it leaves to its peers
+    context.run(asyncio.sleep(0.5))  # twice PEER_HANDOVER_TIMEOUT_MS
     assert context.started.io.store.calls == 1
     assert sum("allowStale=1" in call for call in context.fleet.store.calls) == 1
 
 
-@given("{count:d} nodes in {zones:d} zones, of which {first} and {second} are strong")
+@given("{count:d} nodes in {zones:d} zones, {first} and {second} with most capacity")
 def given_zones(context, count, zones, first, second):
     strong = {first, second}
     nodes = [
@@ -121,7 +121,7 @@
     return context.fleet.nodes[number].state.table.get("runner-new")
 
 
-@when("a runner's entry comes, says that it leaves, and ends")
+@when("a runner's entry is added, marked as draining and removed")
 def runner_lives(context):
     async def act():
         followed = []
@@ -140,12 +140,12 @@
     context.followed = context.run(act())
 
 
-@then("node 3 has followed each of the three")
+@then("node 3 has applied each of the three changes")
 def check_followed(context):
     assert context.followed == ["came", "leaves", "ended"]
 
 
-@when("nodes 0 and 1 stop hearing the store")
+@when("nodes 0 and 1 stop receiving store updates")
 def stop_hearing(context):
     async def act():
         for node in context.fleet.nodes[:2]:
@@ -154,7 +154,7 @@
     context.run(act())
 
 
-@when("node 2 misses the news that a runner joined")
+@when("node 2 misses the update that adds a runner")
 def miss_news(context):
     async def act():
         socket = context.fleet.nodes[2].io.socket
@@ -172,13 +172,13 @@
     context.run(wait_until(lambda: known(context, 2) is not None, limit))
 
 
-@when("an outage that all have noticed lets the runner's entry lapse, and ends")
+@when("the runner's entry expires in an outage that all nodes notice, and it ends")
 def lapse_noticed(context):
     async def act():
         fleet = context.fleet
         watchers = [node.io.store_watcher for node in fleet.nodes]
         fleet.store.fault = StoreFault.BUSY
-        # A lease is longer than a node goes without an answer of the store.
+        # Entries expire later than a node notices that the store does not answer.
         await wait_until(
             lambda: all("servers" in w._unreachable_kinds for w in watchers), 5
         )
@@ -236,12 +236,12 @@
     context.socket.sent.clear()
 
 
-@given("a watcher that a peer has told of the runners up to revision {revision:d}")
+@given("a watcher that has the runners up to revision {revision:d} from a peer")
 def given_told(context, revision):
     make_watcher(context, DirectoryView(revision, ()))
 
 
-@given("a watcher that holds a runner, after an outage of the store")
+@given("a watcher that knows a runner, after a store outage")
 def given_holding(context):
     runner = Runner("runner", "", 1, "zone", "region", RunnerKind.SERVICE, POOL, 8)
     record = RunnerRecord(runner, is_leaving=False, revision=1)
@@ -250,7 +250,7 @@
     context.view.record_store_back()
 
 
-@given("a node that two watchers tell of the end of a runner, the first as a lapse")
+@given("a node to which two watchers report a removed runner, the first as expired")
 def given_two_news(context):
     runner = Runner("runner", "", 1, "zone", "region", RunnerKind.SERVICE, POOL, 8)
     record = RunnerRecord(runner, is_leaving=False, revision=1)
@@ -262,38 +262,38 @@
         context.socket.handlers[StoreNews](PeerMessage(peer, 1, news))
 
 
-@then("it knows the runner no more")
+@then("it no longer knows the runner")
 def check_unknown(context):
     assert context.runner_table.get("runner") is None
 
 
-@when("its own watch shows the end of the runner's entry")
+@when("its own watch returns the removal of the runner's entry")
 def watch_shows_end(context):
     changes = DirectoryChanges(10, 12, (), (RunnerRemoval("runner", 12),))
     context.view.apply_runner_changes(changes, source="watch")
 
 
-@then("the news say that it may have lapsed")
+@then("the update says that the entry may have expired")
 def check_lapsed(context):
     (news,) = context.socket.sent
     assert news.removals[0].wait_ms > 0, news
 
 
-@when("its own watch shows the changes from {base:d} to {revision:d}")
+@when("its own watch returns the changes from {base:d} to {revision:d}")
 def watch_shows(context, base, revision):
     removal = RunnerRemoval("runner", revision)
     changes = DirectoryChanges(base, revision, (), (removal,))
     context.view.apply_runner_changes(changes, source="watch")
 
 
-@then("the changes that it tells its zone end at revision {revision:d}")
+@then("the changes that it broadcasts end at revision {revision:d}")
 def check_told_end(context, revision):
     (news,) = context.socket.sent
     assert len(news.removals) == 1
     assert news.runners_version == revision, news
 
 
-@when("a peer tells node 0 of a runner's end as a lapse, between two of its watches")
+@when("a peer reports a removed runner as expired to node 0, between two watches")
 def told_between(context):
     async def act():
         fleet = context.fleet
@@ -307,7 +307,7 @@
         news = StoreNews(0, 60_000, revision, revision + 1, 60_000, [], [note])
         sender = PeerAddress.of(peer.state.membership.local_node)
         node.io.socket._handlers[StoreNews](PeerMessage(sender, 1, news))
-        # The watch that is under way ends, and the next one begins.
+        # The watch in progress ends, and the next one begins.
         await asyncio.sleep(0.1)
         node.io.store_watcher._nudges["servers"].set()
         await asyncio.sleep(0.1)
@@ -316,6 +316,6 @@
     context.run(act())
 
 
-@then("node 0 knows the runner no more within {limit:d} s")
+@then("node 0 drops the runner within {limit:d} s")
 def check_no_more(context, limit):
     context.run(wait_until(lambda: known(context, 0) is None, limit))
--- a/packages/clementineyoke-node/tests/steps/store_entries_steps.py
+++ b/packages/clementineyoke-node/tests/steps/store_entries_steps.py
@@ -24,19 +24,19 @@
     "no state": {k: v for k, v in GOOD.items() if k != "state"},
     "an unknown state": {**GOOD, "state": "resting"},
     "a number as its address": {**GOOD, "address": 7},
-    "an address of no host": {**GOOD, "address": "somewhere:80"},
+    "an address without an IP": {**GOOD, "address": "somewhere:80"},
     "a port out of range": {**GOOD, "address": "127.0.0.1:70000"},
-    "a text as its slots": {**GOOD, "slots": "8"},
+    "a string as its slots": {**GOOD, "slots": "8"},
     "no service": {k: v for k, v in GOOD.items() if k != "service"},
-    "a text as its birth": {**GOOD, "born": "1790000000000"},
-    "a broken birth": {**GOOD, "born": 1.5},
+    "a string as its start time": {**GOOD, "born": "1790000000000"},
+    "a fraction as its start time": {**GOOD, "born": 1.5},
     "no sequence": {k: v for k, v in GOOD.items() if k != "seq"},
-    "a list in place of all": [1, 2],
+    "a list instead of an object": [1, 2],
 }
 NAMELESS = {
     "no metadata": {"spec": GOOD},
     "a number as its name": {"metadata": {"name": 5, "revision": 1}, "spec": GOOD},
-    "a text as its revision": {
+    "a string as its revision": {
         "metadata": {"name": "x", "revision": "1"},
         "spec": GOOD,
     },
@@ -61,9 +61,9 @@
     return found
 
 
-@when("a page holds a good entry and one with {fault}")
+@when("a page has a valid entry and one with {fault}")
 def faulty_page(context, fault):
-    if fault == "bytes that are no text":
+    if fault == "bytes that are not UTF-8":
         bad = item("bad", {**GOOD, "zone": "ZONE"}).encode()
         bad = bad.replace(b"ZONE", b"\xff\xfe")
     else:
@@ -72,25 +72,25 @@
     context.found = decoded(content)
 
 
-@when("a page holds a good entry and a content that strict JSON does not know")
+@when("a page has a valid entry and one that is not strict JSON")
 def lenient_page(context):
     bad = item("bad", {**GOOD, "seq": 0}).replace('"seq": 0', '"seq": NaN')
     context.found = decoded(page(bad, item("good", GOOD)).encode())
 
 
-@then("the good entry names a runner, and the other one is refused")
+@then("the valid entry describes a runner, and the other one is rejected")
 def check_found(context):
     assert isinstance(context.found["good"], RunnerRecord), context.found
     assert isinstance(context.found["bad"], FormatError), context.found
 
 
-@when("a page holds a good entry and an object with {fault}")
+@when("a page has a valid entry and an object with {fault}")
 def nameless_page(context, fault):
     content = page(json.dumps(NAMELESS[fault]), item("good", GOOD))
     context.page = decode_page(content.encode())
 
 
-@then("the page has the good entry and {count:d} unreadable object")
+@then("the page has the valid entry and {count:d} unreadable object")
 def check_page(context, count):
     assert [entry.name for entry in context.page.entries] == ["good"]
     assert context.page.unreadable == count
@@ -112,7 +112,7 @@
 )
 
 
-@then("no bytes make a decoder raise anything but the error it declares")
+@then("no input makes a decoder raise any error but the one it declares")
 def fuzz_decoders(context):
     @settings(max_examples=300, database=None, derandomize=True, deadline=None)
     @drawn(content=st.binary(max_size=64) | JSON_VALUES.map(to_json))
@@ -137,7 +137,7 @@
     return json.dumps(value).encode()
 
 
-@then("nothing that lies beside a good entry hides it")
+@then("no object next to a valid entry hides it")
 def fuzz_neighbours(context):
     @settings(max_examples=300, database=None, derandomize=True, deadline=None)
     @drawn(value=JSON_VALUES)
@@ -149,14 +149,14 @@
     check()
 
 
-@when("another writer puts a number in place of the address of runner {number:d}")
+@when("another writer replaces the address of runner {number:d} with a number")
 def spoil(context, number):
     runner = context.fleet.runners[number]
     spec = {**GOOD, "address": 7}
     context.run(context.fleet.store.put("servers", runner.runner_id, spec))
 
 
-@when("runner {number:d} enters itself again")
+@when("runner {number:d} registers again")
 def enter_again(context, number):
     context.run(context.fleet.register_runner(context.fleet.runners[number]))
 
@@ -178,12 +178,12 @@
     context.run(wait_known(context, count, limit))
 
 
-@given("runner {number:d} resets what comes on a connection that has rested")
+@given("runner {number:d} resets calls on idle connections")
 def forget_resting(context, number):
     context.fleet.runners[number].forgets_idle = True
 
 
-@when("runner {number:d} starts anew under its id")
+@when("runner {number:d} restarts under its id")
 def start_anew(context, number):
     async def act():
         runner = context.fleet.runners[number]
@@ -202,6 +202,6 @@
     context.run(act())
 
 
-@then("the caller gets 200 from a connection of the new lifetime")
+@then("the caller gets 200 on a connection of the new lifetime")
 def check_new_connection(context):
     assert context.answer[0] == 200, context.answer
