--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/address_lifetimes.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/address_lifetimes.py
@@ -12,16 +12,16 @@
     """
 
     def __init__(self) -> None:
-        self._tenants: dict[tuple[str, int], tuple[str, float]] = {}
+        self._lifetimes: dict[tuple[str, int], tuple[str, float]] = {}
 
     def record(self, address: str, port: int, *, lifetime: str, now_s: float) -> None:
         """Record the runner lifetime that calls to an address are meant for."""
-        known = self._tenants.get((address, port))
+        known = self._lifetimes.get((address, port))
         if known is None or known[0] != lifetime:
             since_s = 0.0 if known is None else now_s
-            self._tenants[(address, port)] = (lifetime, since_s)
+            self._lifetimes[(address, port)] = (lifetime, since_s)
 
     def is_current(self, address: str, port: int, *, connected_s: float) -> bool:
         """Whether a connection made at ``connected_s`` reaches the current lifetime."""
-        known = self._tenants.get((address, port))
+        known = self._lifetimes.get((address, port))
         return known is None or connected_s >= known[1]
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -44,28 +44,28 @@
 MS_PER_S = 1000.0
 RENEWAL_INTERVAL_MS = 4_000
 EXPIRY_INTERVAL_MS = 1_000
-PROMPT_WORK_INTERVAL_MS = 50
+FREQUENT_WORK_INTERVAL_MS = 50
 """Interval for serving calls that wait for a slot and for dropping runners whose
 entries were not renewed in time. Each ms adds to the wait of callers, or to the time in
 which a leaving runner still gets calls."""
 HOUSEKEEPING_INTERVAL_MS = 250
 ARCHIVE_INTERVAL_MS = 500
 """How long a newly refused request may be known to the nodes but not to the store."""
-NODES_BURST_MS = 20.0
+NODE_CHANGE_DELAY_MS = 20.0
 """Delay that combines changes of the nodes into one update. A home that moves that much
 later costs one slot request that goes to the former home."""
-CALLS_AT_NODES = "\0calls"
+NODE_CALLS_KEY = "\0calls"
 """Key under which the calls per second of the nodes are averaged, next to the load of
 the pools; no pool has a name that starts with NUL."""
-KEY_BITS = 64
+RANDOM_KEY_BITS = 64
 QUEUE_SHARE = 1.0
-"""Calls that may queue at a runner, as a share of its slots; runners themselves accept
-four times as many. Without a queue a slot is idle for a quarter of the time, while its
-release and the next grant cross the fleet: two runners with 12 slots and a load of 9
-concurrent calls refused 32 of 100 calls, and 19 with a queue. A queue of twice the
-length refused as many, and its calls took 250 ms instead of 190."""
+"""Calls that may queue at a runner, as a share of its slots; runners queue four times
+as many. Without a queue a slot is idle for a quarter of the time, while its release and
+the next grant cross the fleet: two runners with 12 slots and a load of 9 concurrent
+calls refused 32 of 100 calls, and 19 with a queue. A queue of twice the length refused
+as many, and its calls took 250 ms instead of 190."""
 SLACK_SLOTS = 3
-"""Slots above the load bound, as single calls decide otherwise at a mean of two."""
+"""Slots above the load bound: otherwise single calls decide at a mean load of two."""
 
 
 class EdgeIo:
@@ -75,7 +75,7 @@
         self._config = config
         self._state = state
         self._stack = AsyncExitStack()
-        self._is_apply_due = False
+        self._is_apply_scheduled = False
         self.tasks = BackgroundTasks()
         self.timers = TimerService()
         self.store = StoreClient(address=config.store)
@@ -83,10 +83,12 @@
             table=state.table,
             timers=self.timers,
             decisions=state.decisions,
-            on_draining=self._learn_draining,
+            on_draining=self._record_draining,
         )
-        self.link = RunnerConnectionPool(timers=self.timers, signals=self.signals)
-        self.watch = RunnerHealth(table=state.table)
+        self.connection_pool = RunnerConnectionPool(
+            timers=self.timers, signals=self.signals
+        )
+        self.runner_health = RunnerHealth(table=state.table)
         self.socket = PeerSocket(
             seal=state.seal,
             address=PeerAddress(config.address, config.peer_port),
@@ -95,19 +97,19 @@
         )
         self.view = FleetView(
             table=state.table,
-            cold=state.cold,
+            cold_runners=state.cold,
             timers=self.timers,
             freshness=StoreFreshness(
                 bound_ms=min(config.apply_within_ms, config.drain_within_ms)
             ),
             drain_within_ms=config.drain_within_ms,
             follows_evacuations=config.evacuate_within_ms is not None,
-            on_runners=self.apply_hosts,
-            on_news=lambda changes: self.broadcaster.broadcast(changes),
+            on_runners_changed=self.apply_hosts,
+            on_update=lambda changes: self.broadcaster.broadcast(changes),
         )
         self.crash_tracker = CrashTracker(
             records=CrashRecords(),
-            connection_pool=self.link,
+            connection_pool=self.connection_pool,
             table=state.table,
             homes=state.fleet_homes,
             membership=state.membership,
@@ -116,11 +118,11 @@
             timers=self.timers,
             decisions=state.decisions,
         )
-        self.archive = CrashArchive(
+        self.crash_archive = CrashArchive(
             store=self.store,
             crash_tracker=self.crash_tracker,
             timers=self.timers,
-            is_watcher=self._has_watch_duty,
+            is_watcher=self._is_watcher,
         )
         self._make_slots()
         self._make_fleet()
@@ -128,23 +130,23 @@
 
     async def __aenter__(self) -> Self:
         """Open all components and start the periodic work."""
-        for part in (
+        for component in (
             self.tasks,
             self.timers,
             self.socket,
             self.store,
-            self.link,
+            self.connection_pool,
             self.peers,
             self.store_watcher,
         ):
-            await self._stack.enter_async_context(part)
+            await self._stack.enter_async_context(component)
         self._subscribe()
         self.tasks.spawn(self.registration.register(), name="enter_roster")
         self.tasks.spawn(
-            self.archive.load_after(self.registration.registered),
+            self.crash_archive.load_after(self.registration.registered),
             name="read_crash_archive",
         )
-        self.meet_seeds(self._config.seeds)
+        self.contact_seeds(self._config.seeds)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
@@ -157,25 +159,25 @@
         self.slot_home.rebuild()
         entries = self._state.table.entries()
         pools = {entry.runner.pool for entry in entries}
-        self.gossiper.set_pools({*pools, CALLS_AT_NODES})
+        self.gossiper.set_pools({*pools, NODE_CALLS_KEY})
         lifetimes = {entry.runner.lifetime for entry in entries}
-        self.watch.retain(lifetimes)
+        self.runner_health.retain(lifetimes)
         self._state.cold.retain(lifetimes)
         if moved:
             # New homes do not know the slots in use until these are renewed.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
 
-    def apply_nodes_soon(self) -> None:
+    def schedule_apply_hosts(self) -> None:
         """Apply a changed set of nodes to all components, once per burst of changes.
 
         A starting node discovers its peers one by one within a short time, and so do
         the peers if many start together: with one rebuild for each of 58 peers a node
         answered its first callers late.
         """
-        if self._is_apply_due:
+        if self._is_apply_scheduled:
             return
-        self._is_apply_due = True
-        self.tasks.spawn(self._apply_after_burst(), name="apply_nodes")
+        self._is_apply_scheduled = True
+        self.tasks.spawn(self._apply_after_delay(), name="apply_nodes")
 
     def begin_leaving(self) -> None:
         """Announce to the peers at once that this node takes no more callers."""
@@ -186,9 +188,9 @@
     def fleet_calls_per_s(self) -> float:
         """Return the calls per second of the region's nodes, from their gossip."""
         nodes = self._state.membership.confirmed_alive(region=self._config.region)
-        return self._state.mean_load.mean(CALLS_AT_NODES) * len(nodes)
+        return self._state.mean_load.mean(NODE_CALLS_KEY) * len(nodes)
 
-    def meet_seeds(self, seeds: list[str]) -> None:
+    def contact_seeds(self, seeds: list[str]) -> None:
         """Greet the seed nodes of the settings, and fetch newer state from them."""
         for seed in seeds:
             address = seed.partition(":")[0]
@@ -228,25 +230,25 @@
     def _make_fleet(self) -> None:
         state = self._state
         self.peers = PeerStateExchange(
-            view=self.view, crashes=self.crash_tracker, seal=state.seal
+            view=self.view, crash_tracker=self.crash_tracker, seal=state.seal
         )
         self.introducer = Introducer(
             socket=self.socket,
             membership=state.membership,
-            on_change=self.apply_nodes_soon,
+            on_change=self.schedule_apply_hosts,
         )
         self.gossiper = Gossiper(
             socket=self.socket,
             membership=state.membership,
             mean_load=state.mean_load,
             settings_version=lambda: self.view.state_revision,
-            on_newer_settings=self._hear_of_newer,
-            on_change=self.apply_nodes_soon,
+            on_newer_settings=self._fetch_newer,
+            on_change=self.schedule_apply_hosts,
             runners_version=lambda: self.view.runners_revision,
-            on_newer_runners=self._hear_of_newer,
+            on_newer_runners=self._fetch_newer,
             on_unknown_peer=self.introducer.send_hello,
             store_ages=self.view.ages,
-            on_gossip=self._hear_gossip,
+            on_gossip=self._handle_gossip,
             crash_notes=self.crash_tracker.next_gossip_notes,
             evacuations_version=lambda: self.view.evacuations.version,
         )
@@ -254,12 +256,12 @@
             socket=self.socket,
             membership=state.membership,
             view=self.view,
-            on_newer=self._hear_of_newer,
+            on_newer_revision=self._fetch_newer,
         )
         self.registration = NodeRegistration(
             store=self.store,
             introducer=self.introducer,
-            own=state.membership.local_node,
+            local_node=state.membership.local_node,
         )
         self.store_watcher = StoreWatcher(
             store=self.store,
@@ -267,7 +269,7 @@
             broadcaster=self.broadcaster,
             region=self._config.region,
             rng=state.rng,
-            is_watcher=self._has_watch_duty,
+            is_watcher=self._is_watcher,
             count_watchers=state.count_watchers,
             registered=self.registration.registered,
             heartbeat_ms=self._config.heartbeat_ms,
@@ -279,7 +281,7 @@
         config, state = self._config, self._state
         attempts = AttemptExecutor(
             broker=self.broker,
-            connection_pool=self.link,
+            connection_pool=self.connection_pool,
             rings=state.rings,
             table=state.table,
             timeouts=AttemptTimeouts(),
@@ -291,7 +293,7 @@
         return Forwarder(
             broker=self.broker,
             attempts=attempts,
-            health=self.watch,
+            health=self.runner_health,
             crash_tracker=self.crash_tracker,
             retry_window=RetryWindow(
                 ratio=config.retry_ratio,
@@ -301,42 +303,42 @@
             timers=self.timers,
             decisions=state.decisions,
             count_nodes=lambda: len(state.membership.alive()),
-            random_key=lambda: state.rng.getrandbits(KEY_BITS),
+            random_key=lambda: state.rng.getrandbits(RANDOM_KEY_BITS),
             cap_factor=config.cap_factor,
         )
 
-    def _has_watch_duty(self) -> bool:
+    def _is_watcher(self) -> bool:
         return self.registration.registered.is_set() and self._state.has_watch_duty()
 
-    def _hear_of_newer(self, node: Node, version: int = 0) -> None:
+    def _fetch_newer(self, node: Node, version: int = 0) -> None:
         self.peers.fetch(
             f"{node.address}:{self._config.control_port}",
-            is_zone_told=node.availability_zone == self._config.availability_zone,
+            is_zone_notified=node.availability_zone == self._config.availability_zone,
         )
 
     def _is_cold(self, runner: Runner) -> bool:
         now_ms = self.timers.now_ms()
         return self._state.cold.calls_per_s(runner, now_ms=now_ms) is not None
 
-    def _learn_draining(self, runner: Runner) -> bool:
+    def _record_draining(self, runner: Runner) -> bool:
         """Record that a runner drains; return whether that was unknown.
 
         Its home then refuses slots on it to nodes of any zone that do not know yet.
         """
-        news = self.view.record_draining(runner)
-        if news is None:
+        changes = self.view.record_draining(runner)
+        if changes is None:
             return False
         home_id = self._state.region_homes.home_of(runner.runner_id)
         home = None if home_id is None else self._state.membership.node(home_id)
         if home is not None:
-            self.broadcaster.send_to(home, news)
+            self.broadcaster.send_to(home, changes)
         return True
 
-    def _hear_gossip(self, node: Node, gossip: Gossip) -> None:
+    def _handle_gossip(self, node: Node, gossip: Gossip) -> None:
         self.crash_tracker.merge_notes(gossip.crashes)
         if gossip.evacuations_version > self.view.evacuations.view.revision:
-            self._hear_of_newer(node)
-        self.view.hear_ages(
+            self._fetch_newer(node)
+        self.view.adopt_ages(
             StoreAges(
                 gossip.state_age_ms, gossip.runners_age_ms, gossip.evacuations_age_ms
             ),
@@ -345,31 +347,31 @@
             evacuations_version=gossip.evacuations_version,
         )
 
-    async def _apply_after_burst(self) -> None:
-        await asyncio.sleep(NODES_BURST_MS / MS_PER_S)
-        self._is_apply_due = False
+    async def _apply_after_delay(self) -> None:
+        await asyncio.sleep(NODE_CHANGE_DELAY_MS / MS_PER_S)
+        self._is_apply_scheduled = False
         self.apply_hosts()
 
-    async def _do_prompt_work(self) -> None:
+    async def _run_frequent_work(self) -> None:
         self._state.table.end_expired_backoffs(now_ms=self.timers.now_ms())
         await self.slot_home.serve_queues()
         await self.view.drop_lapsed()
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         rate_per_s = self._state.call_rate.per_s(now_ms=self.timers.now_ms())
-        self._state.mean_load.set_local(CALLS_AT_NODES, load=rate_per_s, runners=1)
+        self._state.mean_load.set_local(NODE_CALLS_KEY, load=rate_per_s, runners=1)
         self._state.table.end_expired_quarantines(now_ms=self.timers.now_ms())
         self.crash_tracker.drop_expired()
 
     def _subscribe(self) -> None:
         gossip_ms = self._config.gossip_interval_ms
-        plan = (
+        schedule = (
             ("gossip", gossip_ms, self.gossiper.run_round),
             ("renew", RENEWAL_INTERVAL_MS, self.broker.renew),
             ("expire", EXPIRY_INTERVAL_MS, self.slot_home.expire),
-            ("prompt", PROMPT_WORK_INTERVAL_MS, self._do_prompt_work),
-            ("house", HOUSEKEEPING_INTERVAL_MS, self._keep_house),
-            ("archive", ARCHIVE_INTERVAL_MS, self.archive.run_round),
+            ("prompt", FREQUENT_WORK_INTERVAL_MS, self._run_frequent_work),
+            ("house", HOUSEKEEPING_INTERVAL_MS, self._run_housekeeping),
+            ("archive", ARCHIVE_INTERVAL_MS, self.crash_archive.run_round),
         )
-        for name, interval_ms, call in plan:
+        for name, interval_ms, call in schedule:
             self.timers.subscribe(name, interval_ms=interval_ms, call=call)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -29,12 +29,12 @@
 MS_PER_S = 1000.0
 CLEANUP_RESERVE_MS = 400.0
 """Time reserved before the process is killed, to close what is still open."""
-END_POLL_MS = 50.0
-LARGEST_FIELD_BYTES = 65_536
-LARGEST_BODY_BYTES = 16_777_216
+DRAIN_POLL_INTERVAL_MS = 50.0
+MAX_HEADER_LINE_BYTES = 65_536
+MAX_BODY_BYTES = 16_777_216
 """Limits on what a node reads, whatever the operator allows: one body takes at most a
 twelfth of the memory of the smallest host (200 MB)."""
-IDLE_TIMEOUT_S = 15.0
+KEEPALIVE_TIMEOUT_S = 15.0
 
 
 class EdgeService:
@@ -46,14 +46,14 @@
         config: EdgeConfig,
         take_listener: Callable[[str], socket.socket | None] = lambda address: None,
     ) -> None:
-        """Build the node; ``take_listener`` returns a socket that is open already."""
+        """Build the node; ``take_listener`` returns sockets that are open already."""
         self._config = config
-        self._take_door = take_listener
+        self._take_listener = take_listener
         self._stack = AsyncExitStack()
-        self._stop_ordered = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self.state = NodeState(config=config)
         self.io = EdgeIo(config=config, state=self.state)
-        self._door = CallerApi(
+        self._caller_api = CallerApi(
             view=self.io.view,
             forwarder=self.io.forwarder,
             in_flight=self.state.in_flight,
@@ -65,20 +65,20 @@
             start_wait=StartupWait(),
             call_rate=self.state.call_rate,
         )
-        self._directory = DirectoryApi(
+        self._directory_api = DirectoryApi(
             membership=self.state.membership,
             is_serving=self._is_serving,
             calls_per_s=self.io.fleet_calls_per_s,
             timers=self.io.timers,
-            keep_ms=config.longest_keep_s * MS_PER_S,
+            max_ttl_ms=config.longest_keep_s * MS_PER_S,
         )
 
     async def __aenter__(self) -> Self:
         """Open the listening sockets, then connect to the store and the peers."""
         config = self._config
-        self._door.record_start()
-        await self._open_control()
-        self._callers = await self._open(self._caller_application(), [config.front])
+        self._caller_api.record_start()
+        await self._serve_control()
+        self._callers = await self._serve(self._caller_application(), [config.front])
         await self._stack.enter_async_context(self.io)
         log_event(
             Event.NODE_STARTED, node=config.node_id, zone=config.availability_zone
@@ -92,31 +92,31 @@
 
     def request_stop(self) -> None:
         """Request a stop; further requests have no effect."""
-        self._stop_ordered.set()
+        self._stop_requested.set()
 
     def apply_config(self, config: EdgeConfig) -> None:
         """Apply new seeds of changed settings; all else takes effect at a restart."""
-        self.io.meet_seeds(config.seeds)
+        self.io.contact_seeds(config.seeds)
 
     async def run_until_stopped(self) -> None:
-        """Serve until a stop is requested, then let calls in flight complete."""
-        await self._stop_ordered.wait()
-        ordered_ms = self.io.timers.now_ms()
+        """Serve until a stop is requested, then drain calls until the stop deadline."""
+        await self._stop_requested.wait()
+        requested_ms = self.io.timers.now_ms()
         self.io.begin_leaving()
         log_event(Event.NODE_DRAINING, in_flight=self.state.in_flight.count)
         await asyncio.sleep(self._config.linger_ms / MS_PER_S)
         for site in list(self._callers.sites):
             await site.stop()
-        await self._end_calls(ordered_ms)
+        await self._drain_calls(requested_ms)
 
-    async def _end_calls(self, ordered_ms: float) -> None:
-        deadline_ms = ordered_ms + self._config.stop_deadline_s * MS_PER_S
+    async def _drain_calls(self, requested_ms: float) -> None:
+        deadline_ms = requested_ms + self._config.stop_deadline_s * MS_PER_S
         deadline_ms -= CLEANUP_RESERVE_MS
         while self.io.timers.now_ms() < deadline_ms:
             self._close_idle_connections()
             if not self.state.in_flight.count:
                 return
-            await asyncio.sleep(END_POLL_MS / MS_PER_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_MS / MS_PER_S)
         log_event(Event.DRAIN_CUT, in_flight=self.state.in_flight.count)
 
     def _close_idle_connections(self) -> None:
@@ -127,45 +127,45 @@
         """
         server = self._callers.server
         for connection in [] if server is None else list(server.connections):
-            if not self._door.is_busy(connection):
+            if not self._caller_api.is_busy(connection):
                 connection.force_close()
 
     def _is_serving(self) -> bool:
         return self.io.view.ready.is_set() and not self.state.membership.is_leaving
 
     def _caller_application(self) -> web.Application:
-        app = web.Application(client_max_size=LARGEST_BODY_BYTES)
-        app.router.add_route("*", "/{path:.*}", self._door.handle)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
+        app.router.add_route("*", "/{path:.*}", self._caller_api.handle)
         return app
 
-    async def _open_control(self) -> None:
+    async def _serve_control(self) -> None:
         config = self._config
         app = web.Application()
-        app.router.add_get(names.READY_PATH, self._directory.ready)
-        app.router.add_get(names.RESOLVE_PATH, self._directory.resolve)
-        app.router.add_get(STATE_PATH, self.io.peers.answer)
+        app.router.add_get(names.READY_PATH, self._directory_api.ready)
+        app.router.add_get(names.RESOLVE_PATH, self._directory_api.resolve)
+        app.router.add_get(STATE_PATH, self.io.peers.handle_request)
         OperatorApi(state=self.state, io=self.io).add_routes(app)
-        await self._open(app, [config.ready, config.directory, config.control])
+        await self._serve(app, [config.ready, config.directory, config.control])
 
-    async def _open(self, app: web.Application, doors: list[str]) -> web.AppRunner:
+    async def _serve(self, app: web.Application, addresses: list[str]) -> web.AppRunner:
         runner = web.AppRunner(
             app,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=IDLE_TIMEOUT_S,
-            max_line_size=LARGEST_FIELD_BYTES,
-            max_field_size=LARGEST_FIELD_BYTES,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+            max_line_size=MAX_HEADER_LINE_BYTES,
+            max_field_size=MAX_HEADER_LINE_BYTES,
             shutdown_timeout=CLEANUP_RESERVE_MS / 2 / MS_PER_S,
         )
         await runner.setup()
         self._stack.push_async_callback(runner.cleanup)
-        for address in sorted(set(doors)):
+        for address in sorted(set(addresses)):
             await self._make_site(runner, address).start()
         return runner
 
     def _make_site(self, runner: web.AppRunner, address: str) -> web.BaseSite:
-        door = self._take_door(address)
-        if door is not None:
-            return web.SockSite(runner, door, backlog=BACKLOG)
+        listener = self._take_listener(address)
+        if listener is not None:
+            return web.SockSite(runner, listener, backlog=BACKLOG)
         host, port = address.rpartition(":")[0], port_of(address)
         return web.TCPSite(runner, host, port, backlog=BACKLOG)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -32,35 +32,35 @@
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.timers.timer_service import TimerService
 
-MOST_LOGGED_IDS = 16
+MAX_LOGGED_IDS = 16
 """Bounds the length of a log line when a whole pool stops taking new calls."""
 
 
 class FleetView:
-    """Apply updates of the view, whether they come from the store or from peers.
+    """Hold the view, and apply updates from the store and from peers in the same way.
 
-    No other class writes the view.
+    No other class changes the view.
     """
 
     def __init__(
         self,
         *,
         table: RunnerTable,
-        cold: ColdRunners,
+        cold_runners: ColdRunners,
         timers: TimerService,
         freshness: StoreFreshness,
         drain_within_ms: float,
         follows_evacuations: bool,
-        on_runners: Callable[[], None],
-        on_news: Callable[[DirectoryChanges | None], None],
+        on_runners_changed: Callable[[], None],
+        on_update: Callable[[DirectoryChanges | None], None],
     ) -> None:
         self._table = table
-        self._cold = cold
+        self._cold_runners = cold_runners
         self._follows_evacuations = follows_evacuations
         self._timers = timers
         self._freshness = freshness
-        self._on_runners = on_runners
-        self._on_news = on_news
+        self._on_runners_changed = on_runners_changed
+        self._on_update = on_update
         self._directory = RunnerDirectory(drain_within_ms=drain_within_ms)
         self._live_ids: set[str] = set()
         self.evacuations = Evacuations()
@@ -79,11 +79,11 @@
         """The revision of the store up to which the runners are known."""
         return self._directory.revision
 
-    def knows(self, followed: ViewPart) -> bool:
+    def knows(self, part: ViewPart) -> bool:
         """Whether a part of the view has been received at all."""
-        if followed is ViewPart.STATE:
+        if part is ViewPart.STATE:
             return self.routes is not None
-        if followed is ViewPart.EVACUATIONS:
+        if part is ViewPart.EVACUATIONS:
             return self.evacuations.is_known
         return self.runners_revision > 0
 
@@ -93,14 +93,14 @@
         view = self._directory.view(now_ms=now_ms)
         records = tuple(
             record._replace(
-                cold_ms=self._cold.remaining_ms(record.runner, now_ms=now_ms)
+                cold_ms=self._cold_runners.remaining_ms(record.runner, now_ms=now_ms)
             )
             for record in view.records
         )
         return view._replace(records=records)
 
     def apply_state(
-        self, state: DesiredState, *, source: str, is_zone_told: bool = False
+        self, state: DesiredState, *, source: str, is_zone_notified: bool = False
     ) -> None:
         """Apply a desired state if it is newer than the one in force.
 
@@ -113,7 +113,7 @@
         if state.revision <= self.state_revision:
             return
         self.routes = RouteTable(state=state)
-        self._cold.set_limits(
+        self._cold_runners.set_limits(
             {
                 limits.pool: ColdRunnerLimit(limits.cold_calls_per_s, limits.cold_ms)
                 for limits in state.pools
@@ -125,36 +125,36 @@
             revision=state.revision,
             source=source,
         )
-        self._note_ready()
-        if not is_zone_told:
-            self._on_news(None)
+        self._update_ready()
+        if not is_zone_notified:
+            self._on_update(None)
 
     def apply_runners(
-        self, view: DirectoryView, *, source: str, is_zone_told: bool = False
+        self, view: DirectoryView, *, source: str, is_zone_notified: bool = False
     ) -> None:
         """Apply a complete list of runners as of a revision."""
-        words = self._unheard(view.records)
+        newer = self._newer_records(view.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.replace(view, now_ms=self._timers.now_ms()):
-            self._apply(source)
-            self._note_cold(words)
-            if not is_zone_told:
-                self._on_news(None)
+            self._update_runner_table(source)
+            self._record_cold_times(newer)
+            if not is_zone_notified:
+                self._on_update(None)
         self._log_lapses(lapsed_before, source)
-        self._note_ready()
+        self._update_ready()
 
     def apply_runner_changes(
-        self, changes: DirectoryChanges, *, source: str, is_zone_told: bool = False
+        self, changes: DirectoryChanges, *, source: str, is_zone_notified: bool = False
     ) -> None:
         """Apply changes of runners."""
-        words = self._unheard(changes.records)
+        newer = self._newer_records(changes.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.apply(changes, now_ms=self._timers.now_ms()):
-            self._apply(source)
-        self._note_cold(words)
+            self._update_runner_table(source)
+        self._record_cold_times(newer)
         self._log_lapses(lapsed_before, source)
-        if not is_zone_told:
-            self._on_news(self._with_lapses(changes))
+        if not is_zone_notified:
+            self._on_update(self._with_wait_times(changes))
 
     def record_draining(self, runner: Runner) -> DirectoryChanges | None:
         """Record that a runner's answer signals that it drains, and notify the zone.
@@ -162,44 +162,46 @@
         Returns the changes, or None if it was known. The runner's entry in the store
         may be updated much later, and the runner exits soon after that.
         """
-        news = self._directory.record_draining(runner)
-        if news is not None:
-            self._apply("answer")
-            self._on_news(news)
-        return news
+        changes = self._directory.record_draining(runner)
+        if changes is not None:
+            self._update_runner_table("answer")
+            self._on_update(changes)
+        return changes
 
     def apply_evacuations(
-        self, view: EvacuationView, *, source: str, is_zone_told: bool = False
+        self, view: EvacuationView, *, source: str, is_zone_notified: bool = False
     ) -> None:
         """Apply a complete list of evacuated zones as of a revision."""
         change = self.evacuations.replace(view)
-        self._apply_zones(change, source, is_zone_told=is_zone_told)
+        self._apply_zone_change(change, source, is_zone_notified=is_zone_notified)
 
     def apply_evacuation_changes(
         self, changes: EvacuationChanges, *, source: str
     ) -> None:
         """Apply changes of the evacuated zones."""
-        self._apply_zones(self.evacuations.apply(changes), source, is_zone_told=False)
+        self._apply_zone_change(
+            self.evacuations.apply(changes), source, is_zone_notified=False
+        )
 
-    def follows_on(self, changes: DirectoryChanges) -> bool:
+    def is_contiguous_with(self, changes: DirectoryChanges) -> bool:
         """Whether no change is missing between this view and ``changes``."""
         return self._directory.is_contiguous_with(changes)
 
-    def confirm(self, followed: ViewPart) -> None:
+    def confirm(self, part: ViewPart) -> None:
         """Record that the store itself has just confirmed a part of this view."""
         now_ms = self._timers.now_ms()
-        self._freshness.confirm(followed, now_ms=now_ms)
+        self._freshness.confirm(part, now_ms=now_ms)
         self._directory.record_store_answer(at_ms=now_ms)
 
-    def is_stale(self, followed: ViewPart) -> bool:
+    def is_stale(self, part: ViewPart) -> bool:
         """Whether a part of this view has not been confirmed for too long."""
-        return self._freshness.is_stale(followed, now_ms=self._timers.now_ms())
+        return self._freshness.is_stale(part, now_ms=self._timers.now_ms())
 
     def ages(self) -> StoreAges:
         """Return how long ago each part was known to be the store's newest."""
         return self._freshness.ages(now_ms=self._timers.now_ms())
 
-    def hear_ages(
+    def adopt_ages(
         self,
         ages: StoreAges,
         *,
@@ -221,11 +223,11 @@
                 ViewPart.EVACUATIONS, now_ms=now_ms, age_ms=ages.evacuations_ms
             )
 
-    def record_store_away(self) -> None:
+    def record_store_failure(self) -> None:
         """Record that the store does not answer this node."""
         self._directory.record_store_failure()
 
-    def record_store_back(self) -> None:
+    def record_store_recovery(self) -> None:
         """Record that the store answers this node again."""
         self._directory.record_store_recovery(now_ms=self._timers.now_ms())
 
@@ -233,9 +235,9 @@
         """Drop runners whose entries expired in an outage and were not renewed."""
         gone = self._directory.drop_lapsed(now_ms=self._timers.now_ms())
         if gone:
-            self._apply("lapsed")
+            self._update_runner_table("lapsed")
 
-    def _apply(self, source: str) -> None:
+    def _update_runner_table(self, source: str) -> None:
         records = self._directory.records()
         live = [record.runner for record in records if not record.is_leaving]
         live_ids = {runner.runner_id for runner in live}
@@ -252,9 +254,9 @@
             source=source,
             runners=len(records),
             leaving=sum(record.is_leaving for record in records),
-            no_longer_live=sorted(no_longer_live)[:MOST_LOGGED_IDS],
+            no_longer_live=sorted(no_longer_live)[:MAX_LOGGED_IDS],
         )
-        self._on_runners()
+        self._on_runners_changed()
 
     def _log_lapses(self, lapsed_before: set[str], source: str) -> None:
         """Log the runners that have lapsed since ``lapsed_before`` was read."""
@@ -268,14 +270,14 @@
                 is_store_away=self._directory.in_outage(now_ms=now_ms),
             )
 
-    def _apply_zones(
-        self, change: ZoneChange | None, source: str, *, is_zone_told: bool
+    def _apply_zone_change(
+        self, change: ZoneChange | None, source: str, *, is_zone_notified: bool
     ) -> None:
         if change is None:
             return
-        orders = self.evacuations.view.zones
+        zones = self.evacuations.view.zones
         self._table.set_evacuated_zones(
-            {order.availability_zone: order.revision for order in orders}
+            {zone.availability_zone: zone.revision for zone in zones}
         )
         for zone, revision in change.evacuated:
             log_event(Event.ZONE_EVACUATED, zone=zone, revision=revision, source=source)
@@ -287,9 +289,9 @@
                 revision=self.evacuations.version,
                 source=source,
             )
-        self._note_ready()
-        if not is_zone_told:
-            self._on_news(None)
+        self._update_ready()
+        if not is_zone_notified:
+            self._on_update(None)
 
     def _assume_cold(self, zone: str) -> None:
         """Treat the runners of a returning zone as cold, whatever they last reported.
@@ -300,9 +302,9 @@
         now_ms = self._timers.now_ms()
         for record in self._directory.records():
             if record.runner.availability_zone == zone:
-                self._cold.assume_cold(record.runner, now_ms=now_ms)
+                self._cold_runners.assume_cold(record.runner, now_ms=now_ms)
 
-    def _unheard(self, records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
+    def _newer_records(self, records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
         """Return the records that are newer than what is known of their runners.
 
         Lists repeat old records: a runner that has been treated as cold since then
@@ -310,26 +312,26 @@
         """
         return [record for record in records if self._directory.is_newer(record)]
 
-    def _note_cold(self, records: list[RunnerRecord]) -> None:
+    def _record_cold_times(self, records: list[RunnerRecord]) -> None:
         """Record how long runners stay cold, except from records that were refused."""
         now_ms = self._timers.now_ms()
         for record in records:
             if self._directory.is_newest(record):
-                self._cold.record_report(
+                self._cold_runners.record_report(
                     record.runner, remaining_ms=record.cold_ms, now_ms=now_ms
                 )
 
-    def _with_lapses(self, changes: DirectoryChanges) -> DirectoryChanges:
+    def _with_wait_times(self, changes: DirectoryChanges) -> DirectoryChanges:
         now_ms = self._timers.now_ms()
         removals = tuple(
-            ended._replace(
-                wait_ms=self._directory.wait_ms(ended.runner_id, now_ms=now_ms)
+            removal._replace(
+                wait_ms=self._directory.wait_ms(removal.runner_id, now_ms=now_ms)
             )
-            for ended in changes.removals
+            for removal in changes.removals
         )
         return changes._replace(removals=removals)
 
-    def _note_ready(self) -> None:
+    def _update_ready(self) -> None:
         knows_zones = self.evacuations.is_known or not self._follows_evacuations
         if self.routes is not None and self._directory.revision and knows_zones:
             self.ready.set()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
@@ -17,7 +17,7 @@
     from clementineyoke_node.platform.store_client import StoreClient
 
 MS_PER_S = 1000.0
-RETRY_PAUSE_MS = 1_000.0
+RETRY_DELAY_MS = 1_000.0
 """Nodes also find each other through seeds and hellos, so a retry may wait."""
 
 
@@ -30,11 +30,11 @@
     """
 
     def __init__(
-        self, *, store: StoreClient, introducer: Introducer, own: Node
+        self, *, store: StoreClient, introducer: Introducer, local_node: Node
     ) -> None:
         self._store = store
         self._introducer = introducer
-        self._own = own
+        self._local_node = local_node
         self.registered = asyncio.Event()
         """Set once this node's entry exists and the other entries have been read."""
 
@@ -42,29 +42,29 @@
         """Write this node's entry and read the others; retry until both are done."""
         while not self.registered.is_set():
             try:
-                await self._enter()
+                await self._register_once()
             except StoreError as error:
                 log_event(Event.PLATFORM_AWAY, step=error.step, reason=error.reason)
-                await asyncio.sleep(RETRY_PAUSE_MS / MS_PER_S)
+                await asyncio.sleep(RETRY_DELAY_MS / MS_PER_S)
                 continue
             self.registered.set()
 
-    async def _enter(self) -> None:
-        if self._own in await self._greet_listed(may_be_old=True):
+    async def _register_once(self) -> None:
+        if self._local_node in await self._add_registered_nodes(may_be_old=True):
             return
-        await self._write()
+        await self._write_entry()
         # A stale list lacks nodes that are starting at the same time.
-        await self._greet_listed(may_be_old=False)
+        await self._add_registered_nodes(may_be_old=False)
 
-    async def _write(self) -> None:
-        spec = encode_node(self._own)
+    async def _write_entry(self) -> None:
+        spec = encode_node(self._local_node)
         try:
-            await self._store.create(names.NODES_KIND, self._own.node_id, spec)
+            await self._store.create(names.NODES_KIND, self._local_node.node_id, spec)
         except RevisionConflictError:
             # An earlier process wrote the entry, possibly with another address.
-            await self._store.replace(names.NODES_KIND, self._own.node_id, spec)
+            await self._store.replace(names.NODES_KIND, self._local_node.node_id, spec)
 
-    async def _greet_listed(self, *, may_be_old: bool) -> list[Node]:
+    async def _add_registered_nodes(self, *, may_be_old: bool) -> list[Node]:
         listed = await self._store.list_all(names.NODES_KIND, may_be_old=may_be_old)
         nodes: list[Node] = []
         for entry in listed.entries:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -31,16 +31,16 @@
 CONNECT_TIMEOUT_S = 0.25
 """Several round trips between regions. An unreachable peer would otherwise delay the
 fetch from the next one by FETCH_TIMEOUT_S."""
-MOST_FETCHES = 4
+MAX_CONCURRENT_FETCHES = 4
 """More than one, in case the first peers are dead."""
-PACKING_LEVEL = 1
+COMPRESSION_LEVEL = 1
 """States are repetitive: 127 kB for 1,400 similar routes compress to 8 kB in 0.7 ms, so
 that all nodes of a zone can fetch them at once from a node with a slow link."""
-UNPACKED_BYTES = 65_536
+DECOMPRESS_BUFFER_BYTES = 65_536
 
 
 class PeerState(NamedTuple):
-    """The parts of a node's state that are newer than the peer's."""
+    """The state that is newer on a node than on its peer, with all its revisions."""
 
     state: DesiredState | None
     runners: DirectoryView | None
@@ -61,13 +61,15 @@
     would keep an old state and go on accepting withdrawn keys.
     """
 
-    def __init__(self, *, view: FleetView, crashes: CrashTracker, seal: Seal) -> None:
+    def __init__(
+        self, *, view: FleetView, crash_tracker: CrashTracker, seal: Seal
+    ) -> None:
         self._view = view
-        self._crashes = crashes
+        self._crash_tracker = crash_tracker
         self._seal = seal
         self._tasks = BackgroundTasks()
         self._session: aiohttp.ClientSession | None = None
-        self._asked: set[str] = set()
+        self._pending: set[str] = set()
 
     async def __aenter__(self) -> Self:
         """Open the HTTP session for peers."""
@@ -84,21 +86,21 @@
         if self._session is not None:
             await self._session.close()
 
-    def fetch(self, address: str, *, is_zone_told: bool = False) -> None:
+    def fetch(self, address: str, *, is_zone_notified: bool = False) -> None:
         """Start to fetch newer state from a peer's control address.
 
         Several peers report the same change. Does nothing if this peer or the maximum
         number of peers is being asked: a revision that is still newer after their
         answers is reported again.
         """
-        if address in self._asked or len(self._asked) >= MOST_FETCHES:
+        if address in self._pending or len(self._pending) >= MAX_CONCURRENT_FETCHES:
             return
-        self._asked.add(address)
+        self._pending.add(address)
         self._tasks.spawn(
-            self._fetch(address, is_zone_told=is_zone_told), name="fetch_state"
+            self._fetch(address, is_zone_notified=is_zone_notified), name="fetch_state"
         )
 
-    async def answer(self, request: web.Request) -> web.Response:
+    async def handle_request(self, request: web.Request) -> web.Response:
         """Return the state that is newer than the revisions in a peer's query."""
         try:
             state_revision = int(request.query.get("state", "0"))
@@ -113,23 +115,23 @@
         runners = None
         if self._view.runners_revision > runners_revision:
             runners = self._view.directory_view()
-        orders = self._view.evacuations
-        known = PeerState(
+        evacuations = self._view.evacuations
+        newer = PeerState(
             state,
             runners,
             self._view.state_revision,
             self._view.runners_revision,
             self._view.ages(),
-            self._crashes.newest_notes(),
-            orders.view if orders.version > evacuations_revision else None,
-            orders.version,
+            self._crash_tracker.newest_notes(),
+            evacuations.view if evacuations.version > evacuations_revision else None,
+            evacuations.version,
         )
-        packed = zlib.compress(msgspec.msgpack.encode(known), PACKING_LEVEL)
-        return web.Response(body=self._seal.sign(packed))
+        compressed = zlib.compress(msgspec.msgpack.encode(newer), COMPRESSION_LEVEL)
+        return web.Response(body=self._seal.sign(compressed))
 
-    async def _fetch(self, address: str, *, is_zone_told: bool) -> None:
+    async def _fetch(self, address: str, *, is_zone_notified: bool) -> None:
         try:
-            found = await self._ask(address)
+            received = await self._request_state(address)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             log_event(Event.PEER_STATE_MISSED, peer=address, reason=repr(error))
             return
@@ -137,30 +139,30 @@
             log_event(Event.DATAGRAM_REFUSED, peer=address, step=error.step)
             return
         finally:
-            self._asked.discard(address)
-        if found.evacuations is not None:
+            self._pending.discard(address)
+        if received.evacuations is not None:
             self._view.apply_evacuations(
-                found.evacuations, source=address, is_zone_told=is_zone_told
+                received.evacuations, source=address, is_zone_notified=is_zone_notified
             )
-        if found.state is not None:
+        if received.state is not None:
             self._view.apply_state(
-                found.state, source=address, is_zone_told=is_zone_told
+                received.state, source=address, is_zone_notified=is_zone_notified
             )
-        if found.runners is not None:
+        if received.runners is not None:
             self._view.apply_runners(
-                found.runners, source=address, is_zone_told=is_zone_told
+                received.runners, source=address, is_zone_notified=is_zone_notified
             )
-        self._view.hear_ages(
-            found.ages,
-            state_revision=found.state_revision,
-            runners_revision=found.runners_revision,
-            evacuations_version=found.evacuations_version,
+        self._view.adopt_ages(
+            received.ages,
+            state_revision=received.state_revision,
+            runners_revision=received.runners_revision,
+            evacuations_version=received.evacuations_version,
         )
-        self._crashes.merge_notes(found.crashes)
+        self._crash_tracker.merge_notes(received.crashes)
 
-    async def _ask(self, address: str) -> PeerState:
+    async def _request_state(self, address: str) -> PeerState:
         if self._session is None:
-            message = "the peers' session is closed"
+            message = "HTTP session for peers is closed"
             raise ValueError(message)
         async with self._session.get(
             f"http://{address}{STATE_PATH}",
@@ -174,12 +176,12 @@
             ),
         ) as response:
             response.raise_for_status()
-            packed = self._seal.open(await response.read(), peer=address)
-        return msgspec.msgpack.decode(_unpack(packed, address), type=PeerState)
+            compressed = self._seal.open(await response.read(), peer=address)
+        return msgspec.msgpack.decode(_decompress(compressed, address), type=PeerState)
 
 
-def _unpack(packed: bytes, address: str) -> bytes:
+def _decompress(compressed: bytes, address: str) -> bytes:
     try:
-        return zlib.decompress(packed, bufsize=UNPACKED_BYTES)
+        return zlib.decompress(compressed, bufsize=DECOMPRESS_BUFFER_BYTES)
     except zlib.error as error:
         raise WireError(step="unpack_state", peer=address, reason=str(error)) from error
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
@@ -19,17 +19,17 @@
     from clementineyoke_node.edge.fleet_view import FleetView
     from clementineyoke_node.peers.peer_socket import PeerMessage, PeerSocket
 
-MOST_NOTES = 8
+MAX_BROADCAST_CHANGES = 8
 """Maximum number of runner changes in a broadcast; receivers fetch larger sets from the
-sender. Eight changes make a datagram of 607 bytes, which leaves room for longer names
-below 1.4 kB."""
+sender. Eight similar changes make a datagram of 607 bytes, so that longer names fit
+into 1.4 kB as well."""
 
 
 class UpdateBroadcaster:
     """Broadcast store updates, and how long ago each was known to be the newest.
 
     If every node watched the store, the calls to it would grow with the fleet: with 59
-    nodes they cost a sixth of all earnings, and each change woke every node twice. One
+    nodes they cost a sixth of all revenue, and each change woke every node twice. One
     or two nodes per zone watch instead and notify the others. A node that learns of a
     change from outside its zone also notifies the zone: if the watchers of a zone are
     cut off, one node that receives the change by gossip is enough.
@@ -41,34 +41,35 @@
         socket: PeerSocket,
         membership: Membership,
         view: FleetView,
-        on_newer: Callable[[Node], None],
+        on_newer_revision: Callable[[Node], None],
     ) -> None:
         self._socket = socket
         self._membership = membership
         self._view = view
-        self._on_newer = on_newer
+        self._on_newer_revision = on_newer_revision
         socket.handle(StoreNews, self._receive)
 
     def broadcast(self, changes: DirectoryChanges | None = None) -> None:
         """Send the zone the revisions known here, with changes of runners if any."""
-        own = self._membership.local_node
+        local_node = self._membership.local_node
         peers = [
             PeerAddress.of(node)
-            for node in self._membership.alive(region=own.region)
-            if node.availability_zone == own.availability_zone and node != own
+            for node in self._membership.alive(region=local_node.region)
+            if node.availability_zone == local_node.availability_zone
+            and node != local_node
         ]
         if peers:
-            self._socket.send_all(peers, self._news(changes))
+            self._socket.send_all(peers, self._make_message(changes))
 
     def send_to(self, node: Node, changes: DirectoryChanges) -> None:
         """Send changes to one node, which notifies its zone if that is another one."""
         if node != self._membership.local_node:
-            self._socket.send(PeerAddress.of(node), self._news(changes))
+            self._socket.send(PeerAddress.of(node), self._make_message(changes))
 
-    def _news(self, changes: DirectoryChanges | None) -> StoreNews:
+    def _make_message(self, changes: DirectoryChanges | None) -> StoreNews:
         ages = self._view.ages()
         known = self._view.runners_revision
-        if changes is None or _size(changes) > MOST_NOTES:
+        if changes is None or _count_changes(changes) > MAX_BROADCAST_CHANGES:
             changes = DirectoryChanges(known, known, (), ())
         # The view may be newer than these changes. Sent with the revision of the view,
         # they would hide the changes in between, and a leaving runner would go on
@@ -81,7 +82,7 @@
             changes.revision,
             ages.runners_ms if is_newest else UNKNOWN_AGES.runners_ms,
             [_to_note(record) for record in changes.records],
-            [RemovalNote(*ended) for ended in changes.removals],
+            [RemovalNote(*removal) for removal in changes.removals],
             self._view.evacuations.version,
             ages.evacuations_ms,
         )
@@ -90,33 +91,35 @@
         sender = self._membership.node_at(received.peer.address, received.peer.port)
         if sender is None:
             return
-        news: StoreNews = received.message
-        is_zone_told = (
+        message: StoreNews = received.message
+        is_zone_notified = (
             sender.availability_zone == self._membership.local_node.availability_zone
         )
-        changes = _changes_of(news)
+        changes = _to_changes(message)
         # Also applies changes of a known revision: another watcher may know better
         # whether an entry was removed or expired.
-        if _size(changes) and self._view.follows_on(changes):
+        if _count_changes(changes) and self._view.is_contiguous_with(changes):
             self._view.apply_runner_changes(
-                changes, source=sender.node_id, is_zone_told=is_zone_told
+                changes, source=sender.node_id, is_zone_notified=is_zone_notified
             )
         is_behind = (
-            news.state_version > self._view.state_revision
-            or news.runners_version > self._view.runners_revision
-            or news.evacuations_version > self._view.evacuations.view.revision
+            message.state_version > self._view.state_revision
+            or message.runners_version > self._view.runners_revision
+            or message.evacuations_version > self._view.evacuations.view.revision
         )
         if is_behind:
-            self._on_newer(sender)
-        self._view.hear_ages(
-            StoreAges(news.state_age_ms, news.runners_age_ms, news.evacuations_age_ms),
-            state_revision=news.state_version,
-            runners_revision=news.runners_version,
-            evacuations_version=news.evacuations_version,
+            self._on_newer_revision(sender)
+        self._view.adopt_ages(
+            StoreAges(
+                message.state_age_ms, message.runners_age_ms, message.evacuations_age_ms
+            ),
+            state_revision=message.state_version,
+            runners_revision=message.runners_version,
+            evacuations_version=message.evacuations_version,
         )
 
 
-def _size(changes: DirectoryChanges) -> int:
+def _count_changes(changes: DirectoryChanges) -> int:
     return len(changes.records) + len(changes.removals)
 
 
@@ -138,12 +141,12 @@
     )
 
 
-def _changes_of(news: StoreNews) -> DirectoryChanges:
+def _to_changes(message: StoreNews) -> DirectoryChanges:
     return DirectoryChanges(
-        news.runners_base,
-        news.runners_version,
-        tuple(_to_record(note) for note in news.runners),
-        tuple(RunnerRemoval(*note) for note in news.removals),
+        message.runners_base,
+        message.runners_version,
+        tuple(_to_record(note) for note in message.runners),
+        tuple(RunnerRemoval(*note) for note in message.removals),
     )
 
 
--- a/packages/clementineyoke-node/tests/edge/news.feature
+++ b/packages/clementineyoke-node/tests/edge/news.feature
@@ -30,12 +30,12 @@
     Then it is ready within 1 s
     And it has called the store once, for a list that may be stale
 
-  Scenario: The hosts with the highest capacity in a zone become watchers
+  Scenario: The largest hosts of a zone become watchers
     # Guards against updates that are delayed by the queue on a link of 5 Mbit/s: a watcher
     # sends each change to its whole zone, so it must not be chosen by its name.
-    Given 9 nodes in 3 zones, node-7 and node-8 with most capacity
+    Given 9 nodes in 3 zones, and node-7 and node-8 are the largest
     Then node-7 and node-8 are watchers, with 4 others
-    Given 10 nodes in 5 zones, node-7 and node-8 with most capacity
+    Given 10 nodes in 5 zones, and node-7 and node-8 are the largest
     Then node-7 and node-8 are watchers, with 3 others
 
   Scenario: An update is lost
--- a/packages/clementineyoke-node/tests/edge/store_entries.feature
+++ b/packages/clementineyoke-node/tests/edge/store_entries.feature
@@ -20,7 +20,7 @@
       | a fraction as its start time |
       | no sequence                  |
       | a list instead of an object  |
-      | bytes that are not UTF-8     |
+      | bytes that are not text      |
 
   Scenario Outline: An object without a valid name or revision
     When a page has a valid entry and an object with <fault>
--- a/packages/clementineyoke-node/tests/steps/early_start_steps.py
+++ b/packages/clementineyoke-node/tests/steps/early_start_steps.py
@@ -14,7 +14,7 @@
 
 
 @when("a process opens its listening sockets before it loads its modules")
-def open_early(context):
+def start_early(context):
     (port,) = free_ports(1)
     address = f"127.0.0.1:{port}"
 
@@ -27,17 +27,17 @@
             server = await asyncio.start_server(echo, sock=start.take(address))
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
-            context.reply = await asyncio.wait_for(loop.sock_recv(caller, 64), 2)
+            context.received = await asyncio.wait_for(loop.sock_recv(caller, 64), 2)
             caller.close()
             server.close()
 
-    handlers = {number: signal.getsignal(number) for number in STOPPERS}
+    handlers = {number: signal.getsignal(number) for number in HANDLED_SIGNALS}
     context.run(act())
     for number, handler in handlers.items():
         signal.signal(number, handler)
 
 
-STOPPERS = (signal.SIGTERM, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 
 
 async def echo(reader, writer):
@@ -47,13 +47,13 @@
 
 
 @then("a caller that connects in between is answered once they are loaded")
-def check_reply(context):
-    assert context.reply == b"a call"
+def check_answer(context):
+    assert context.received == b"a call"
 
 
 @when("a node's process gets SIGTERM while it starts")
-def stop_at_start(context):
-    loading = (
+def terminate_at_start(context):
+    code = (
         "import os, signal\n"
         "from clementineyoke_node.console.early_start import EarlyStart\n"
         "with EarlyStart(addresses=[]) as start:\n"
@@ -61,22 +61,22 @@
         "    print(start.is_stop_ordered, flush=True)\n"
     )
     context.started = subprocess.run(
-        [sys.executable, "-c", loading], capture_output=True, check=False, timeout=60
+        [sys.executable, "-c", code], capture_output=True, check=False, timeout=60
     )
 
 
 @then("it continues to start and has recorded the stop request")
-def check_order(context):
+def check_stop_recorded(context):
     assert context.started.returncode == 0, context.started
     assert context.started.stdout == b"True\n"
 
 
 @when("a process opens a listening socket at an address that is in use")
-def open_taken(context):
-    with socket.socket() as holder:
-        holder.bind(("127.0.0.1", 0))
-        holder.listen()
-        address = f"127.0.0.1:{holder.getsockname()[1]}"
+def open_used_address(context):
+    with socket.socket() as used:
+        used.bind(("127.0.0.1", 0))
+        used.listen()
+        address = f"127.0.0.1:{used.getsockname()[1]}"
         code = (
             "from clementineyoke_node.console.early_start import EarlyStart\n"
             f"with EarlyStart(addresses=[{address!r}]) as start:\n"
@@ -92,13 +92,13 @@
 
 
 @then("it continues without that socket")
-def check_without(context):
+def check_no_socket(context):
     assert context.started.stdout == b"None\n", context.started
     assert door_addresses(["--doors=a:1,b:2", "x"]) == ["a:1", "b:2"]
 
 
 @when("a node starts and a call arrives before its state")
-def call_before_state(context):
+def make_call_before_state(context):
     async def act():
         fleet = context.fleet
         node = await fleet.start_node(0, wait=False)
--- a/packages/clementineyoke-node/tests/steps/evacuation_steps.py
+++ b/packages/clementineyoke-node/tests/steps/evacuation_steps.py
@@ -21,7 +21,7 @@
 from clementineyoke_standins.edge.edge_runner import Act
 from clementineyoke_standins.edge.edge_store import StoreFault
 
-KIND = "evacuations"
+EVACUATIONS_KIND = "evacuations"
 PROBES = 12
 """Calls without a prompt go to any runner: this many miss one of two runners with a
 probability of 1 in 4,000."""
@@ -40,25 +40,25 @@
     context.timers = TimerService()
     context.view = FleetView(
         table=RunnerTable(),
-        cold=context.cold,
+        cold_runners=context.cold,
         timers=context.timers,
         freshness=StoreFreshness(bound_ms=2_000),
         drain_within_ms=2_000,
         follows_evacuations=True,
-        on_runners=lambda: None,
-        on_news=lambda changes: None,
+        on_runners_changed=lambda: None,
+        on_update=lambda changes: None,
     )
 
 
 @when("it gets the desired state and the runners")
-def tell_state(context):
+def apply_state(context):
     spec = msgspec.json.encode(make_state(1, make_route("idempotent")))
     context.view.apply_state(decode_state(spec, revision=1), source="peer")
     context.view.apply_runners(DirectoryView(2, ()), source="peer")
 
 
 @when('it gets the desired state and a runner in "{zone}"')
-def tell_runner(context, zone):
+def apply_state_and_runner(context, zone):
     state = make_state(1, make_route("idempotent"), cold_s=3.0, cold_calls_per_s=9.0)
     spec = msgspec.json.encode(state)
     context.view.apply_state(decode_state(spec, revision=1), source="peer")
@@ -68,20 +68,20 @@
 
 
 @when('"{zone}" is evacuated and returns')
-def empty_and_return(context, zone):
-    orders = EvacuationView(3, (EvacuatedZone(zone, 3),))
-    context.view.apply_evacuations(orders, source="peer")
+def evacuate_and_return(context, zone):
+    evacuations = EvacuationView(3, (EvacuatedZone(zone, 3),))
+    context.view.apply_evacuations(evacuations, source="peer")
     context.view.apply_evacuations(EvacuationView(4), source="peer")
 
 
 @when("it gets the same entry again")
-def tell_again(context):
+def apply_same_entry(context):
     changes = DirectoryChanges(0, 5, (context.record,), ())
     context.view.apply_runner_changes(changes, source="peer")
 
 
 @when("the runner reports that it is warm")
-def say_warm(context):
+def report_warm(context):
     record = context.record._replace(revision=6)
     changes = DirectoryChanges(5, 6, (record,), ())
     context.view.apply_runner_changes(changes, source="watch")
@@ -101,7 +101,7 @@
 
 
 @when("it gets an empty list of evacuations")
-def tell_no_orders(context):
+def apply_no_evacuations(context):
     context.view.apply_evacuations(EvacuationView(2), source="peer")
 
 
@@ -115,10 +115,10 @@
     assert context.view.ready.is_set()
 
 
-@given('a fleet of {nodes:d} nodes and {runners:d} runners in "{one}" and "{two}"')
-@given('a fleet of {nodes:d} node and {runners:d} runners in "{one}" and "{two}"')
-def given_zones(context, nodes, runners, one, two):
-    start_fleet(context, nodes, runners, (one, two))
+@given('a fleet of {nodes:d} nodes and {runners:d} runners in "{first}" and "{second}"')
+@given('a fleet of {nodes:d} node and {runners:d} runners in "{first}" and "{second}"')
+def given_zones(context, nodes, runners, first, second):
+    start_fleet(context, nodes, runners, (first, second))
 
 
 @given('a fleet of {nodes:d} node and {runners:d} runner in "{zone}"')
@@ -126,51 +126,51 @@
     start_fleet(context, nodes, runners, (zone,))
 
 
-def empty(context, zone):
-    context.revision = context.run(context.fleet.store.put(KIND, zone, {}))
+def evacuate(context, zone):
+    context.revision = context.run(context.fleet.store.put(EVACUATIONS_KIND, zone, {}))
 
 
 @when('the operator evacuates "{zone}"')
-def empty_one(context, zone):
-    empty(context, zone)
+def evacuate_one(context, zone):
+    evacuate(context, zone)
 
 
-@when('the operator evacuates both "{one}" and "{two}"')
-def empty_two(context, one, two):
-    empty(context, one)
-    empty(context, two)
+@when('the operator evacuates both "{first}" and "{second}"')
+def evacuate_two(context, first, second):
+    evacuate(context, first)
+    evacuate(context, second)
 
 
 @when('the operator ends the evacuation of "{zone}"')
-def take_back(context, zone):
-    context.run(context.fleet.store.remove(KIND, zone))
+def end_evacuation(context, zone):
+    context.run(context.fleet.store.remove(EVACUATIONS_KIND, zone))
 
 
 @when('the operator evacuates "{zone}", ends the evacuation and evacuates it again')
-def empty_again(context, zone):
+def evacuate_again(context, zone):
     async def run():
-        await context.fleet.store.put(KIND, zone, {})
+        await context.fleet.store.put(EVACUATIONS_KIND, zone, {})
         await asyncio.sleep(0.3)
-        await context.fleet.store.remove(KIND, zone)
+        await context.fleet.store.remove(EVACUATIONS_KIND, zone)
         await asyncio.sleep(0.3)
-        await context.fleet.store.put(KIND, zone, {})
+        await context.fleet.store.put(EVACUATIONS_KIND, zone, {})
 
     context.run(run())
 
 
 @when('the store refuses node {number:d} and the operator evacuates "{zone}"')
-def turn_away(context, number, zone):
+def refuse_node(context, number, zone):
     context.fleet.store.turned_away.add(f"127.0.0.{number + 2}")
-    empty(context, zone)
+    evacuate(context, zone)
 
 
 @when('watches get no answer while the operator evacuates "{zone}"')
-def empty_deaf(context, zone):
+def evacuate_without_answers(context, zone):
     async def run():
         store = context.fleet.store
         store.is_deaf = True
         await asyncio.sleep(0.1)
-        await store.put(KIND, zone, {})
+        await store.put(EVACUATIONS_KIND, zone, {})
         await asyncio.sleep(1.0)
         store.forget_history()
         store.is_deaf = False
@@ -189,7 +189,7 @@
     context.run(run())
 
 
-def seen_in(context, zone):
+def calls_in(context, zone):
     fleet = context.fleet
     return [
         call
@@ -210,49 +210,49 @@
 
 
 @then('within {limit:g} s no new call at any node reaches a runner in "{zone}"')
-def check_empty(context, limit, zone):
+def check_evacuated(context, limit, zone):
     async def run():
         nodes = context.fleet.nodes
         await wait_until(
             lambda: all(zone in n.state.table.evacuated_zones() for n in nodes), limit
         )
-        before = len(seen_in(context, zone))
+        before = len(calls_in(context, zone))
         for number in range(len(nodes)):
             await probe(context, number)
-        assert len(seen_in(context, zone)) == before
+        assert len(calls_in(context, zone)) == before
 
     context.run(run())
 
 
 @then('within {limit:g} s calls at each node reach a runner in "{zone}"')
-def check_back(context, limit, zone):
+def check_returned(context, limit, zone):
     async def run():
         nodes = context.fleet.nodes
         await wait_until(
             lambda: all(not n.state.table.evacuated_zones() for n in nodes), limit
         )
         for number in range(len(nodes)):
-            before = len(seen_in(context, zone))
+            before = len(calls_in(context, zone))
             await probe(context, number)
-            assert len(seen_in(context, zone)) > before
+            assert len(calls_in(context, zone)) > before
 
     context.run(run())
 
 
 @then('no call at node {number:d} reaches a runner in "{zone}"')
-def check_node(context, number, zone):
-    before = len(seen_in(context, zone))
+def check_no_calls(context, number, zone):
+    before = len(calls_in(context, zone))
     context.run(probe(context, number))
     assert context.answer[0] == 200, context.answer
-    assert len(seen_in(context, zone)) == before
+    assert len(calls_in(context, zone)) == before
 
 
 @when('the operator evacuates "{zone}" during a stream')
-def empty_midway(context, zone):
+def evacuate_during_stream(context, zone):
     async def run():
         stream = asyncio.ensure_future(context.fleet.call("streaming"))
-        await wait_until(lambda: seen_in(context, zone), 2)
-        await context.fleet.store.put(KIND, zone, {})
+        await wait_until(lambda: calls_in(context, zone), 2)
+        await context.fleet.store.put(EVACUATIONS_KIND, zone, {})
         context.answer = await stream
 
     context.run(run())
@@ -279,13 +279,13 @@
 
 
 @when("the runners cut off each stream")
-def break_streams(context):
+def cut_streams(context):
     async def run():
         node = context.fleet.nodes[0]
         await wait_until(lambda: node.state.table.evacuated_zones(), 2)
         for runner in context.fleet.runners:
             runner.usual = Act.CUT
-        context.before = len(seen_in(context, "east"))
+        context.before = len(calls_in(context, "east"))
         for number in range(PROBES):
             await _try_stream(context, number)
 
@@ -302,8 +302,8 @@
 
 
 @then('no retry reaches a runner in "{zone}"')
-def check_no_second(context, zone):
-    assert len(seen_in(context, zone)) == context.before
+def check_no_retry(context, zone):
+    assert len(calls_in(context, zone)) == context.before
 
 
 @then('the decision on the last call names "{zone}" and the revision of its evacuation')
--- a/packages/clementineyoke-node/tests/steps/store_entries_steps.py
+++ b/packages/clementineyoke-node/tests/steps/store_entries_steps.py
@@ -20,7 +20,7 @@
 from clementineyoke_standins.edge.written_specs import runner_spec
 
 GOOD = runner_spec(pool=POOL, address="127.0.0.1:9", zone="zone", state="ready")
-FAULTS = {
+INVALID_SPECS = {
     "no state": {k: v for k, v in GOOD.items() if k != "state"},
     "an unknown state": {**GOOD, "state": "resting"},
     "a number as its address": {**GOOD, "address": 7},
@@ -33,7 +33,7 @@
     "no sequence": {k: v for k, v in GOOD.items() if k != "seq"},
     "a list instead of an object": [1, 2],
 }
-NAMELESS = {
+INVALID_OBJECTS = {
     "no metadata": {"spec": GOOD},
     "a number as its name": {"metadata": {"name": 5, "revision": 1}, "spec": GOOD},
     "a string as its revision": {
@@ -62,18 +62,18 @@
 
 
 @when("a page has a valid entry and one with {fault}")
-def faulty_page(context, fault):
-    if fault == "bytes that are not UTF-8":
+def decode_page_with_invalid_entry(context, fault):
+    if fault == "bytes that are not text":
         bad = item("bad", {**GOOD, "zone": "ZONE"}).encode()
         bad = bad.replace(b"ZONE", b"\xff\xfe")
     else:
-        bad = item("bad", FAULTS[fault]).encode()
+        bad = item("bad", INVALID_SPECS[fault]).encode()
     content = page("BAD", item("good", GOOD)).encode().replace(b"BAD", bad)
     context.found = decoded(content)
 
 
 @when("a page has a valid entry and one that is not strict JSON")
-def lenient_page(context):
+def decode_page_with_nan(context):
     bad = item("bad", {**GOOD, "seq": 0}).replace('"seq": 0', '"seq": NaN')
     context.found = decoded(page(bad, item("good", GOOD)).encode())
 
@@ -85,8 +85,8 @@
 
 
 @when("a page has a valid entry and an object with {fault}")
-def nameless_page(context, fault):
-    content = page(json.dumps(NAMELESS[fault]), item("good", GOOD))
+def decode_page_with_invalid_object(context, fault):
+    content = page(json.dumps(INVALID_OBJECTS[fault]), item("good", GOOD))
     context.page = decode_page(content.encode())
 
 
@@ -150,14 +150,14 @@
 
 
 @when("another writer replaces the address of runner {number:d} with a number")
-def spoil(context, number):
+def invalidate_address(context, number):
     runner = context.fleet.runners[number]
     spec = {**GOOD, "address": 7}
     context.run(context.fleet.store.put("servers", runner.runner_id, spec))
 
 
 @when("runner {number:d} registers again")
-def enter_again(context, number):
+def register_again(context, number):
     context.run(context.fleet.register_runner(context.fleet.runners[number]))
 
 
@@ -179,12 +179,12 @@
 
 
 @given("runner {number:d} resets calls on idle connections")
-def forget_resting(context, number):
+def reset_idle_connections(context, number):
     context.fleet.runners[number].forgets_idle = True
 
 
 @when("runner {number:d} restarts under its id")
-def start_anew(context, number):
+def restart_runner(context, number):
     async def act():
         runner = context.fleet.runners[number]
         spec = runner_spec(
