--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -159,8 +159,8 @@
     def record_draining(self, runner: Runner) -> DirectoryChanges | None:
         """Record that a runner's answer signals that it drains, and notify the zone.
 
-        Returns the changes, or None if it was known. The runner's entry in the store
-        may be updated much later, and the runner exits soon after that.
+        Returns the changes, or None if this was known already. The runner's entry in
+        the store may be updated much later, and the runner exits soon after that.
         """
         changes = self._directory.record_draining(runner)
         if changes is not None:
--- a/packages/clementineyoke-node/tests/edge/fleet.feature
+++ b/packages/clementineyoke-node/tests/edge/fleet.feature
@@ -63,8 +63,8 @@
 
   Scenario: A watch that lasts through a store outage
     # Guards against a large fleet that refuses all calls after an outage of the store. All
-    # entries expire in a silent outage of 6 s. Watches of 20 s wait through it, end in
-    # order and report the entries as removed, and no failed call has shown the outage.
+    # entries expire in a silent outage of 6 s. Watches of 20 s wait through it, end without
+    # an error and report the entries as removed, and no failed call has shown the outage.
     # The model checker covers this in runner_entries_spec.
     Given a fleet of 1 node and 1 runner
     Then with 60 nodes that watch a watch of the runners ends before three heartbeats
@@ -117,8 +117,8 @@
     Then it continues without that socket
 
   Scenario: A call arrives before the first state
-    # Guards against a restarted node that tells callers to retry in a second although its
-    # state is 20 ms away: the call arrives 10 ms before the first answer of the store.
+    # Guards against a restarted node that tells callers to retry in a second, although it
+    # has its state 20 ms later: the call arrives 10 ms before the first answer of the store.
     Given a fleet of 0 nodes and 1 runner
     When a node starts and a call arrives before its state
     Then the caller gets 200
--- a/packages/clementineyoke-node/tests/edge/news.feature
+++ b/packages/clementineyoke-node/tests/edge/news.feature
@@ -47,7 +47,7 @@
 
   Scenario: Entries expire in a store outage
     # Guards against nodes that refuse all calls after an outage of the store: the watchers
-    # recover first and broadcast expired entries, which the others take for removed ones.
+    # recover first and broadcast expired entries, which the others treat as removed.
     Given a fleet of 4 nodes and 1 runner whose nodes know each other
     When the runner's entry expires in an outage that all nodes notice, and it ends
     Then calls at node 3 are still served
@@ -72,7 +72,7 @@
   Scenario: The second update of a revision corrects the first
     # Guards against a call to a runner 2.2 s after its entry was removed: a watcher that
     # was cut off reports the removal as an expiry, and the correct report of the same
-    # revision by another watcher is ignored as known.
+    # revision by another watcher is ignored because that revision is known already.
     Given a node to which two watchers report a removed runner, the first as expired
     Then it no longer knows the runner
 
