--- a/packages/clementineyoke-node/tests/edge/evacuation.feature
+++ b/packages/clementineyoke-node/tests/edge/evacuation.feature
@@ -30,7 +30,7 @@
     # and calls queue for runners that get no new calls.
     Given a fleet of 1 node and 2 runners in "east" and "west"
     When the operator evacuates both "east" and "west"
-    Then calls are refused within 0.3 s with a Retry-After of 1.0 s
+    Then calls are refused within 0.3 s as not run, with a Retry-After of 1.0 s
 
   Scenario: A resumable stream is cut off
     # Guards against retries in an evacuated zone: the runner in west cuts off a stream,
--- a/packages/clementineyoke-node/tests/steps/evacuation_steps.py
+++ b/packages/clementineyoke-node/tests/steps/evacuation_steps.py
@@ -264,7 +264,10 @@
     assert (status, body) == (200, WHOLE_STREAM), context.answer
 
 
-@then("calls are refused within {limit:g} s with a Retry-After of {retry_after_s:g} s")
+@then(
+    "calls are refused within {limit:g} s as not run, "
+    "with a Retry-After of {retry_after_s:g} s"
+)
 def check_refused(context, limit, retry_after_s):
     async def run():
         node = context.fleet.nodes[0]
