--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this node believes of the desired state, the runners and emptied zones."""
+"""The node's view of the desired state, the runners and the evacuated zones."""
 
 from __future__ import annotations
 
@@ -32,84 +32,88 @@
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.timers.timer_service import TimerService
 
-MOST_LOGGED_IDS = 16
-"""Limits the length of a log line when a whole pool stops taking new calls."""
+MAX_LOGGED_IDS = 16
+"""Bounds the length of a log line when a whole pool stops taking new calls."""
 
 
 class FleetView:
-    """The one writer of these; news from the store and from peers come the same way."""
+    """Hold the view, and apply updates from the store and from peers in the same way.
+
+    No other class changes the view.
+    """
 
     def __init__(
         self,
         *,
         table: RunnerTable,
-        cold: ColdRunners,
+        cold_runners: ColdRunners,
         timers: TimerService,
         freshness: StoreFreshness,
         drain_within_ms: float,
         follows_evacuations: bool,
-        on_runners: Callable[[], None],
-        on_news: Callable[[DirectoryChanges | None], None],
+        on_runners_changed: Callable[[], None],
+        on_update: Callable[[DirectoryChanges | None], None],
     ) -> None:
         self._table = table
-        self._cold = cold
+        self._cold_runners = cold_runners
         self._follows_evacuations = follows_evacuations
         self._timers = timers
         self._freshness = freshness
-        self._on_runners = on_runners
-        self._on_news = on_news
+        self._on_runners_changed = on_runners_changed
+        self._on_update = on_update
         self._directory = RunnerDirectory(drain_within_ms=drain_within_ms)
         self._live_ids: set[str] = set()
         self.evacuations = Evacuations()
         self.routes: RouteTable | None = None
         self.ready = asyncio.Event()
-        """Set once a desired state, a list of runners and, where zones are emptied, the
-        orders for that are known: the first call must not go to an emptied zone."""
+        """Set once the desired state, the runners and, if zones may be evacuated, the
+        evacuations are known: the first call must not go to an evacuated zone."""
 
     @property
     def state_revision(self) -> int:
-        """The revision of the desired state in force; 0 without one."""
+        """The revision of the desired state in force; 0 if there is none."""
         return 0 if self.routes is None else self.routes.state.revision
 
     @property
     def runners_revision(self) -> int:
-        """As of which revision of the store the runners are known."""
+        """The revision of the store up to which the runners are known."""
         return self._directory.revision
 
-    def knows(self, followed: ViewPart) -> bool:
-        """Whether a part of the view has been heard of at all."""
-        if followed is ViewPart.STATE:
+    def knows(self, part: ViewPart) -> bool:
+        """Whether a part of the view has been received at all."""
+        if part is ViewPart.STATE:
             return self.routes is not None
-        if followed is ViewPart.EVACUATIONS:
+        if part is ViewPart.EVACUATIONS:
             return self.evacuations.is_known
         return self.runners_revision > 0
 
     def directory_view(self) -> DirectoryView:
-        """Return the runners as they are handed to a peer."""
+        """Return the runners in the form that is sent to a peer."""
         now_ms = self._timers.now_ms()
         view = self._directory.view(now_ms=now_ms)
         records = tuple(
             record._replace(
-                cold_ms=self._cold.remaining_ms(record.runner, now_ms=now_ms)
+                cold_ms=self._cold_runners.remaining_ms(record.runner, now_ms=now_ms)
             )
             for record in view.records
         )
         return view._replace(records=records)
 
     def apply_state(
-        self, state: DesiredState, *, source: str, is_zone_told: bool = False
+        self, state: DesiredState, *, source: str, is_zone_notified: bool = False
     ) -> None:
-        """Put a desired state in force unless it is no newer.
+        """Apply a desired state if it is newer than the one in force.
 
-        A peer or a stale read may bring an older one. Going back would serve calls by
-        a version that callers have seen replaced.
+        A peer or a stale read may return an older state. Applying it would serve calls
+        by a version that callers have seen replaced.
 
-        What the sender has told the whole zone is not passed on.
+        With ``is_zone_notified``, the sender has sent the update to the whole zone, and
+        it is not broadcast again.
         """
         if state.revision <= self.state_revision:
             return
         self.routes = RouteTable(state=state)
-        self._cold.set_limits(
+        self._cold_runners.set_limits(
             {
                 limits.pool: ColdRunnerLimit(limits.cold_calls_per_s, limits.cold_ms)
                 for limits in state.pools
@@ -121,81 +125,83 @@
             revision=state.revision,
             source=source,
         )
-        self._note_ready()
-        if not is_zone_told:
-            self._on_news(None)
+        self._update_ready()
+        if not is_zone_notified:
+            self._on_update(None)
 
     def apply_runners(
-        self, view: DirectoryView, *, source: str, is_zone_told: bool = False
+        self, view: DirectoryView, *, source: str, is_zone_notified: bool = False
     ) -> None:
-        """Take the whole list of runners as of a revision."""
-        words = self._unheard(view.records)
+        """Apply a complete list of runners as of a revision."""
+        newer = self._newer_records(view.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.replace(view, now_ms=self._timers.now_ms()):
-            self._apply(source)
-            self._note_cold(words)
-            if not is_zone_told:
-                self._on_news(None)
+            self._update_runner_table(source)
+            self._record_cold_times(newer)
+            if not is_zone_notified:
+                self._on_update(None)
         self._log_lapses(lapsed_before, source)
-        self._note_ready()
+        self._update_ready()
 
     def apply_runner_changes(
-        self, changes: DirectoryChanges, *, source: str, is_zone_told: bool = False
+        self, changes: DirectoryChanges, *, source: str, is_zone_notified: bool = False
     ) -> None:
-        """Take what changed among the runners."""
-        words = self._unheard(changes.records)
+        """Apply changes of runners."""
+        newer = self._newer_records(changes.records)
         lapsed_before = self._directory.lapsed_ids()
         if self._directory.apply(changes, now_ms=self._timers.now_ms()):
-            self._apply(source)
-        self._note_cold(words)
+            self._update_runner_table(source)
+        self._record_cold_times(newer)
         self._log_lapses(lapsed_before, source)
-        if not is_zone_told:
-            self._on_news(self._with_lapses(changes))
+        if not is_zone_notified:
+            self._on_update(self._with_wait_times(changes))
 
     def record_draining(self, runner: Runner) -> DirectoryChanges | None:
-        """Take a runner's signal in an answer that it drains, and tell the zone.
+        """Record that a runner's answer signals that it drains, and notify the zone.
 
-        Returns the news, or None if it was known. The store may learn of it much later,
-        and the runner exits soon after that.
+        Returns the changes, or None if this was known already. The runner's entry in
+        the store may be updated much later, and the runner exits soon after that.
         """
-        news = self._directory.record_draining(runner)
-        if news is not None:
-            self._apply("answer")
-            self._on_news(news)
-        return news
+        changes = self._directory.record_draining(runner)
+        if changes is not None:
+            self._update_runner_table("answer")
+            self._on_update(changes)
+        return changes
 
     def apply_evacuations(
-        self, view: EvacuationView, *, source: str, is_zone_told: bool = False
+        self, view: EvacuationView, *, source: str, is_zone_notified: bool = False
     ) -> None:
-        """Take all orders to empty zones as of a revision."""
+        """Apply a complete list of evacuated zones as of a revision."""
         change = self.evacuations.replace(view)
-        self._apply_zones(change, source, is_zone_told=is_zone_told)
+        self._apply_zone_change(change, source, is_zone_notified=is_zone_notified)
 
     def apply_evacuation_changes(
         self, changes: EvacuationChanges, *, source: str
     ) -> None:
-        """Take what changed among the orders."""
-        self._apply_zones(self.evacuations.apply(changes), source, is_zone_told=False)
+        """Apply changes of the evacuated zones."""
+        self._apply_zone_change(
+            self.evacuations.apply(changes), source, is_zone_notified=False
+        )
 
-    def follows_on(self, changes: DirectoryChanges) -> bool:
-        """Whether no change is missing between this view and the changes."""
+    def is_contiguous_with(self, changes: DirectoryChanges) -> bool:
+        """Whether no change is missing between this view and ``changes``."""
         return self._directory.is_contiguous_with(changes)
 
-    def confirm(self, followed: ViewPart) -> None:
-        """Note that the store itself has just been heard on a part of this view."""
+    def confirm(self, part: ViewPart) -> None:
+        """Record that the store itself has just confirmed a part of this view."""
         now_ms = self._timers.now_ms()
-        self._freshness.confirm(followed, now_ms=now_ms)
+        self._freshness.confirm(part, now_ms=now_ms)
         self._directory.record_store_answer(at_ms=now_ms)
 
-    def is_stale(self, followed: ViewPart) -> bool:
-        """Whether nobody has confirmed a part of this view for too long."""
-        return self._freshness.is_stale(followed, now_ms=self._timers.now_ms())
+    def is_stale(self, part: ViewPart) -> bool:
+        """Whether a part of this view has not been confirmed for too long."""
+        return self._freshness.is_stale(part, now_ms=self._timers.now_ms())
 
     def ages(self) -> StoreAges:
-        """Return how long ago this view was known to be the store's newest."""
+        """Return how long ago each part was known to be the store's newest."""
         return self._freshness.ages(now_ms=self._timers.now_ms())
 
-    def hear_ages(
+    def adopt_ages(
         self,
         ages: StoreAges,
         *,
@@ -203,7 +209,7 @@
         runners_revision: int,
         evacuations_version: int,
     ) -> None:
-        """Take over a peer's confirmation of revisions that are known here too."""
+        """Adopt a peer's confirmation of revisions that this view has reached."""
         now_ms = self._timers.now_ms()
         self._directory.record_store_answer(at_ms=now_ms - min(ages))
         if self.state_revision >= state_revision > 0:
@@ -217,21 +223,21 @@
                 ViewPart.EVACUATIONS, now_ms=now_ms, age_ms=ages.evacuations_ms
             )
 
-    def record_store_away(self) -> None:
-        """Note that the store does not answer this node."""
+    def record_store_failure(self) -> None:
+        """Record that the store does not answer this node."""
         self._directory.record_store_failure()
 
-    def record_store_back(self) -> None:
-        """Note that the store answers after it was away."""
+    def record_store_recovery(self) -> None:
+        """Record that the store answers this node again."""
         self._directory.record_store_recovery(now_ms=self._timers.now_ms())
 
     async def drop_lapsed(self) -> None:
-        """Drop runners whose entries lapsed in an outage and did not return."""
+        """Drop runners whose entries expired in an outage and were not renewed."""
         gone = self._directory.drop_lapsed(now_ms=self._timers.now_ms())
         if gone:
-            self._apply("lapsed")
+            self._update_runner_table("lapsed")
 
-    def _apply(self, source: str) -> None:
+    def _update_runner_table(self, source: str) -> None:
         records = self._directory.records()
         live = [record.runner for record in records if not record.is_leaving]
         live_ids = {runner.runner_id for runner in live}
@@ -248,12 +254,12 @@
             source=source,
             runners=len(records),
             leaving=sum(record.is_leaving for record in records),
-            no_longer_live=sorted(no_longer_live)[:MOST_LOGGED_IDS],
+            no_longer_live=sorted(no_longer_live)[:MAX_LOGGED_IDS],
         )
-        self._on_runners()
+        self._on_runners_changed()
 
     def _log_lapses(self, lapsed_before: set[str], source: str) -> None:
-        """Log the runners that have lapsed since the given set was read."""
+        """Log the runners that have lapsed since ``lapsed_before`` was read."""
         now_ms = self._timers.now_ms()
         for runner_id in sorted(self._directory.lapsed_ids() - lapsed_before):
             log_event(
@@ -264,14 +270,14 @@
                 is_store_away=self._directory.in_outage(now_ms=now_ms),
             )
 
-    def _apply_zones(
-        self, change: ZoneChange | None, source: str, *, is_zone_told: bool
+    def _apply_zone_change(
+        self, change: ZoneChange | None, source: str, *, is_zone_notified: bool
     ) -> None:
         if change is None:
             return
-        orders = self.evacuations.view.zones
+        zones = self.evacuations.view.zones
         self._table.set_evacuated_zones(
-            {order.availability_zone: order.revision for order in orders}
+            {zone.availability_zone: zone.revision for zone in zones}
         )
         for zone, revision in change.evacuated:
             log_event(Event.ZONE_EVACUATED, zone=zone, revision=revision, source=source)
@@ -283,49 +289,49 @@
                 revision=self.evacuations.version,
                 source=source,
             )
-        self._note_ready()
-        if not is_zone_told:
-            self._on_news(None)
+        self._update_ready()
+        if not is_zone_notified:
+            self._on_update(None)
 
     def _assume_cold(self, zone: str) -> None:
-        """Take the runners of a zone that returns for cold, whatever they last said.
+        """Treat the runners of a returning zone as cold, whatever they last reported.
 
-        They may have been restarted while nobody called them. Their word of it lags,
-        and the calls of all their prompts would meet them at once.
+        They may have been restarted while they got no calls. Their reports of that come
+        late, and they would get the calls of all their prompts at once.
         """
         now_ms = self._timers.now_ms()
         for record in self._directory.records():
             if record.runner.availability_zone == zone:
-                self._cold.assume_cold(record.runner, now_ms=now_ms)
+                self._cold_runners.assume_cold(record.runner, now_ms=now_ms)
 
-    def _unheard(self, records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
-        """Return the entries that are newer than what is known of their runners.
+    def _newer_records(self, records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
+        """Return the records that are newer than what is known of their runners.
 
-        Lists repeat what runners said long ago: a runner that counts as cold since then
-        would be taken for warm by its old word.
+        Lists repeat old records: a runner that has been treated as cold since then
+        would count as warm again.
         """
         return [record for record in records if self._directory.is_newer(record)]
 
-    def _note_cold(self, records: list[RunnerRecord]) -> None:
-        """Take the runners' words on being cold, unless the directory refused them."""
+    def _record_cold_times(self, records: list[RunnerRecord]) -> None:
+        """Record how long runners stay cold, except from records that were refused."""
         now_ms = self._timers.now_ms()
         for record in records:
             if self._directory.is_newest(record):
-                self._cold.record_report(
+                self._cold_runners.record_report(
                     record.runner, remaining_ms=record.cold_ms, now_ms=now_ms
                 )
 
-    def _with_lapses(self, changes: DirectoryChanges) -> DirectoryChanges:
+    def _with_wait_times(self, changes: DirectoryChanges) -> DirectoryChanges:
         now_ms = self._timers.now_ms()
         removals = tuple(
-            ended._replace(
-                wait_ms=self._directory.wait_ms(ended.runner_id, now_ms=now_ms)
+            removal._replace(
+                wait_ms=self._directory.wait_ms(removal.runner_id, now_ms=now_ms)
             )
-            for ended in changes.removals
+            for removal in changes.removals
         )
         return changes._replace(removals=removals)
 
-    def _note_ready(self) -> None:
+    def _update_ready(self) -> None:
         knows_zones = self.evacuations.is_known or not self._follows_evacuations
         if self.routes is not None and self._directory.revision and knows_zones:
             self.ready.set()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -1,4 +1,4 @@
-"""Hand desired state and runners to peers, and fetch them from peers."""
+"""Serve the desired state and the runners to peers, and fetch them from peers."""
 
 from __future__ import annotations
 
@@ -26,53 +26,53 @@
 
 STATE_PATH = "/peers/state"
 FETCH_TIMEOUT_S = 1.0
-"""A peer answers in milliseconds; another one is asked when the next gossip tells of
-something newer."""
-
-
+"""Peers answer in milliseconds. After a time-out the next peer whose gossip reports a
+newer revision is asked."""
 CONNECT_TIMEOUT_S = 0.25
-"""Several round trips between regions. A peer that is dark would hold up the fetch
-from the next for the whole time of a fetch."""
-MOST_FETCHES = 4
-"""Answers waited for at a time: more than one, in case the first peers are dead."""
-PACKING_LEVEL = 1
-"""States repeat themselves: 127 kB for 1,400 alike routes pack to 8 kB in 0.7 ms, so
-the nodes of a zone can fetch them at once from one with a slow link."""
-UNPACKED_BYTES = 65_536
+"""Several round trips between regions. An unreachable peer would otherwise delay the
+fetch from the next one by FETCH_TIMEOUT_S."""
+MAX_CONCURRENT_FETCHES = 4
+"""More than one, in case the first peers are dead."""
+COMPRESSION_LEVEL = 1
+"""States are repetitive: 127 kB for 1,400 similar routes compress to 8 kB in 0.7 ms, so
+that all nodes of a zone can fetch them at once from a node with a slow link."""
+DECOMPRESS_BUFFER_BYTES = 65_536
 
 
 class PeerState(NamedTuple):
-    """What a node knows that the asker does not."""
+    """The state that is newer on a node than on its peer, with all its revisions."""
 
     state: DesiredState | None
     runners: DirectoryView | None
     state_revision: int
     runners_revision: int
     ages: StoreAges
-    """How sure the sender is that its revisions are the newest."""
+    """How long ago the sender's revisions were known to be the newest."""
     crashes: list[CrashNote] = []
-    """Requests under which runners have ended."""
+    """Requests during which runners have crashed."""
     evacuations: EvacuationView | None = None
     evacuations_version: int = 0
 
 
 class PeerStateExchange:
-    """Own the exchange of states between nodes.
+    """Exchange state between nodes over HTTP.
 
-    The store may turn one node away and serve the others. Without its peers that node
-    would go on by an old state, seen as calls with withdrawn keys that still run.
+    The store may refuse one node and serve the others. Without its peers that node
+    would keep an old state and go on accepting withdrawn keys.
     """
 
-    def __init__(self, *, view: FleetView, crashes: CrashTracker, seal: Seal) -> None:
+    def __init__(
+        self, *, view: FleetView, crash_tracker: CrashTracker, seal: Seal
+    ) -> None:
         self._view = view
-        self._crashes = crashes
+        self._crash_tracker = crash_tracker
         self._seal = seal
         self._tasks = BackgroundTasks()
         self._session: aiohttp.ClientSession | None = None
-        self._asked: set[str] = set()
+        self._pending: set[str] = set()
 
     async def __aenter__(self) -> Self:
-        """Open the connections to peers."""
+        """Open the HTTP session for peers."""
         connector = aiohttp.TCPConnector(
             limit=0, force_close=True, socket_factory=open_socket
         )
@@ -81,26 +81,27 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close the connections."""
+        """Stop all fetches and close the HTTP session."""
         await self._tasks.__aexit__(*exc_info)
         if self._session is not None:
             await self._session.close()
 
-    def fetch(self, address: str, *, is_zone_told: bool = False) -> None:
-        """Ask a peer's control address for what is newer.
+    def fetch(self, address: str, *, is_zone_notified: bool = False) -> None:
+        """Start to fetch newer state from a peer's control address.
 
-        Several peers tell of the same change; whatever is still newer when these
-        answers are in is told again.
+        Several peers report the same change. Does nothing if this peer or the maximum
+        number of peers is being asked: a revision that is still newer after their
+        answers is reported again.
         """
-        if address in self._asked or len(self._asked) >= MOST_FETCHES:
+        if address in self._pending or len(self._pending) >= MAX_CONCURRENT_FETCHES:
             return
-        self._asked.add(address)
+        self._pending.add(address)
         self._tasks.spawn(
-            self._fetch(address, is_zone_told=is_zone_told), name="fetch_state"
+            self._fetch(address, is_zone_notified=is_zone_notified), name="fetch_state"
         )
 
-    async def answer(self, request: web.Request) -> web.Response:
-        """Answer a peer with what it does not know."""
+    async def handle_request(self, request: web.Request) -> web.Response:
+        """Return the state that is newer than the revisions in a peer's query."""
         try:
             state_revision = int(request.query.get("state", "0"))
             runners_revision = int(request.query.get("runners", "0"))
@@ -114,23 +115,23 @@
         runners = None
         if self._view.runners_revision > runners_revision:
             runners = self._view.directory_view()
-        orders = self._view.evacuations
-        known = PeerState(
+        evacuations = self._view.evacuations
+        newer = PeerState(
             state,
             runners,
             self._view.state_revision,
             self._view.runners_revision,
             self._view.ages(),
-            self._crashes.newest_notes(),
-            orders.view if orders.version > evacuations_revision else None,
-            orders.version,
+            self._crash_tracker.newest_notes(),
+            evacuations.view if evacuations.version > evacuations_revision else None,
+            evacuations.version,
         )
-        packed = zlib.compress(msgspec.msgpack.encode(known), PACKING_LEVEL)
-        return web.Response(body=self._seal.sign(packed))
+        compressed = zlib.compress(msgspec.msgpack.encode(newer), COMPRESSION_LEVEL)
+        return web.Response(body=self._seal.sign(compressed))
 
-    async def _fetch(self, address: str, *, is_zone_told: bool) -> None:
+    async def _fetch(self, address: str, *, is_zone_notified: bool) -> None:
         try:
-            found = await self._ask(address)
+            received = await self._request_state(address)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             log_event(Event.PEER_STATE_MISSED, peer=address, reason=repr(error))
             return
@@ -138,30 +139,30 @@
             log_event(Event.DATAGRAM_REFUSED, peer=address, step=error.step)
             return
         finally:
-            self._asked.discard(address)
-        if found.evacuations is not None:
+            self._pending.discard(address)
+        if received.evacuations is not None:
             self._view.apply_evacuations(
-                found.evacuations, source=address, is_zone_told=is_zone_told
+                received.evacuations, source=address, is_zone_notified=is_zone_notified
             )
-        if found.state is not None:
+        if received.state is not None:
             self._view.apply_state(
-                found.state, source=address, is_zone_told=is_zone_told
+                received.state, source=address, is_zone_notified=is_zone_notified
             )
-        if found.runners is not None:
+        if received.runners is not None:
             self._view.apply_runners(
-                found.runners, source=address, is_zone_told=is_zone_told
+                received.runners, source=address, is_zone_notified=is_zone_notified
             )
-        self._view.hear_ages(
-            found.ages,
-            state_revision=found.state_revision,
-            runners_revision=found.runners_revision,
-            evacuations_version=found.evacuations_version,
+        self._view.adopt_ages(
+            received.ages,
+            state_revision=received.state_revision,
+            runners_revision=received.runners_revision,
+            evacuations_version=received.evacuations_version,
         )
-        self._crashes.merge_notes(found.crashes)
+        self._crash_tracker.merge_notes(received.crashes)
 
-    async def _ask(self, address: str) -> PeerState:
+    async def _request_state(self, address: str) -> PeerState:
         if self._session is None:
-            message = "the peers' session is closed"
+            message = "HTTP session for peers is closed"
             raise ValueError(message)
         async with self._session.get(
             f"http://{address}{STATE_PATH}",
@@ -175,12 +176,12 @@
             ),
         ) as response:
             response.raise_for_status()
-            packed = self._seal.open(await response.read(), peer=address)
-        return msgspec.msgpack.decode(_unpack(packed, address), type=PeerState)
+            compressed = self._seal.open(await response.read(), peer=address)
+        return msgspec.msgpack.decode(_decompress(compressed, address), type=PeerState)
 
 
-def _unpack(packed: bytes, address: str) -> bytes:
+def _decompress(compressed: bytes, address: str) -> bytes:
     try:
-        return zlib.decompress(packed, bufsize=UNPACKED_BYTES)
+        return zlib.decompress(compressed, bufsize=DECOMPRESS_BUFFER_BYTES)
     except zlib.error as error:
         raise WireError(step="unpack_state", peer=address, reason=str(error)) from error
--- a/packages/clementineyoke-node/tests/steps/early_start_steps.py
+++ b/packages/clementineyoke-node/tests/steps/early_start_steps.py
@@ -13,8 +13,8 @@
 from clementineyoke_standins.soak.loopback import free_ports
 
 
-@when("a process opens its doors first and loads its modules after that")
-def open_early(context):
+@when("a process opens its listening sockets before it loads its modules")
+def start_early(context):
     (port,) = free_ports(1)
     address = f"127.0.0.1:{port}"
 
@@ -23,21 +23,21 @@
             host, port = address.split(":")
             caller = socket.create_connection((host, int(port)), timeout=2)
             caller.sendall(b"a call")
-            # The modules are loaded here; then the loop takes the door.
+            # A node loads its modules here; then the event loop takes the socket.
             server = await asyncio.start_server(echo, sock=start.take(address))
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
-            context.reply = await asyncio.wait_for(loop.sock_recv(caller, 64), 2)
+            context.received = await asyncio.wait_for(loop.sock_recv(caller, 64), 2)
             caller.close()
             server.close()
 
-    handlers = {number: signal.getsignal(number) for number in STOPPERS}
+    handlers = {number: signal.getsignal(number) for number in HANDLED_SIGNALS}
     context.run(act())
     for number, handler in handlers.items():
         signal.signal(number, handler)
 
 
-STOPPERS = (signal.SIGTERM, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 
 
 async def echo(reader, writer):
@@ -46,14 +46,14 @@
     writer.close()
 
 
-@then("a caller that connects meanwhile is answered once they are loaded")
-def check_reply(context):
-    assert context.reply == b"a call"
+@then("a caller that connects in between is answered once they are loaded")
+def check_answer(context):
+    assert context.received == b"a call"
 
 
-@when("a node's process is told to stop while it starts")
-def stop_at_start(context):
-    loading = (
+@when("a node's process gets SIGTERM while it starts")
+def terminate_at_start(context):
+    code = (
         "import os, signal\n"
         "from clementineyoke_node.console.early_start import EarlyStart\n"
         "with EarlyStart(addresses=[]) as start:\n"
@@ -61,22 +61,22 @@
         "    print(start.is_stop_ordered, flush=True)\n"
     )
     context.started = subprocess.run(
-        [sys.executable, "-c", loading], capture_output=True, check=False, timeout=60
+        [sys.executable, "-c", code], capture_output=True, check=False, timeout=60
     )
 
 
-@then("it goes on to start and knows of the order")
-def check_order(context):
+@then("it continues to start and has recorded the stop request")
+def check_stop_recorded(context):
     assert context.started.returncode == 0, context.started
     assert context.started.stdout == b"True\n"
 
 
-@when("a process opens a door whose address is taken")
-def open_taken(context):
-    with socket.socket() as holder:
-        holder.bind(("127.0.0.1", 0))
-        holder.listen()
-        address = f"127.0.0.1:{holder.getsockname()[1]}"
+@when("a process opens a listening socket at an address that is in use")
+def open_used_address(context):
+    with socket.socket() as used:
+        used.bind(("127.0.0.1", 0))
+        used.listen()
+        address = f"127.0.0.1:{used.getsockname()[1]}"
         code = (
             "from clementineyoke_node.console.early_start import EarlyStart\n"
             f"with EarlyStart(addresses=[{address!r}]) as start:\n"
@@ -91,14 +91,14 @@
         )
 
 
-@then("it goes on without it")
-def check_without(context):
+@then("it continues without that socket")
+def check_no_socket(context):
     assert context.started.stdout == b"None\n", context.started
     assert door_addresses(["--doors=a:1,b:2", "x"]) == ["a:1", "b:2"]
 
 
-@when("a node starts and a caller's call comes before its state")
-def call_before_state(context):
+@when("a node starts and a call arrives before its state")
+def make_call_before_state(context):
     async def act():
         fleet = context.fleet
         node = await fleet.start_node(0, wait=False)
@@ -106,4 +106,4 @@
         context.answer = await fleet.call("idempotent")
 
     context.run(act())
-    assert not context.was_ready, "the state came before the call"
+    assert not context.was_ready, "the state arrived before the call"
