--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -88,14 +88,14 @@
     Mutation(
         "peers do not hand over the orders",
         f"{EDGE}/peer_state_exchange.py",
-        "orders.view if orders.version > evacuations_revision else None",
+        "evacuations.view if evacuations.version > evacuations_revision else None",
         "None",
         EVACUATION,
     ),
     Mutation(
         "calls to a pool without open runners may come back at once",
         f"{EDGE}/forwarder.py",
-        "return CLOSED_RETRY_MS",
+        "return NO_RUNNER_RETRY_MS",
         "return REFUSED_RETRY_MS",
         EVACUATION,
     ),
@@ -123,14 +123,14 @@
     Mutation(
         "a home grants on cold runners by slots alone",
         f"{NODE}/src/clementineyoke_node/slots/slot_home.py",
-        "return self._cold_pace.may_grant(runner_id, now_ms=now_ms)",
+        "return self._cold_pacer.may_grant(runner_id, now_ms=now_ms)",
         "return True",
         COLD_CALLS,
     ),
     Mutation(
         "a runner that took no connections counts as warm",
         f"{NODE}/src/clementineyoke_node/slots/slot_home.py",
-        "            self._expect_cold(runner_id, now_ms)\n",
+        "            self._assume_cold(runner_id, now_ms)\n",
         "",
         f"{NODE}/tests/slots/slot_home.feature",
     ),
@@ -151,8 +151,8 @@
     Mutation(
         "a connection with a stray answer is kept",
         f"{EDGE}/runner_protocol.py",
-        "and is_kept and not has_stray",
-        "and is_kept",
+        "and is_fresh and not has_unread_data",
+        "and is_fresh",
         CALLS,
     ),
     Mutation(
@@ -172,7 +172,7 @@
     Mutation(
         "a bare 503 goes on",
         f"{EDGE}/response_checks.py",
-        "if head.status in PROMISES:",
+        "if head.status in NOT_RUN_STATUSES:",
         "if False:",
         CALLS,
     ),
@@ -200,8 +200,8 @@
     Mutation(
         "a watch of the runners waits through an outage",
         f"{EDGE}/store_watcher.py",
-        "HEARTBEATS_A_WATCH = 2.0",
-        "HEARTBEATS_A_WATCH = 20.0",
+        "MAX_HEARTBEATS_PER_WATCH = 2.0",
+        "MAX_HEARTBEATS_PER_WATCH = 20.0",
         FLEET,
     ),
     Mutation(
@@ -214,7 +214,7 @@
     Mutation(
         "nothing is fetched from peers",
         f"{EDGE}/peer_state_exchange.py",
-        "if address in self._asked or",
+        "if address in self._pending or",
         "if True or",
         FLEET,
     ),
@@ -242,15 +242,15 @@
     Mutation(
         "news do not say what lapsed",
         f"{EDGE}/fleet_view.py",
-        "wait_ms=self._directory.wait_ms(ended.runner_id, now_ms=now_ms)",
+        "wait_ms=self._directory.wait_ms(removal.runner_id, now_ms=now_ms)",
         "wait_ms=0",
         NEWS,
     ),
     Mutation(
         "a watcher skips what peers have told",
         f"{EDGE}/store_watcher.py",
-        "position = self._positions[kind]",
-        "position = max(self._positions[kind], self._view.runners_revision)",
+        "revision = self._revisions[kind]",
+        "revision = max(self._revisions[kind], self._view.runners_revision)",
         NEWS,
     ),
     Mutation(
@@ -446,14 +446,14 @@
     Mutation(
         "a call's last runner is given up like its first",
         f"{EDGE}/runner_timeout.py",
-        "if self.may_go_on():",
+        "if self.may_retry():",
         "if True:",
         CALLS,
     ),
     Mutation(
         "a start writes its entry whether it is there or not",
         f"{EDGE}/node_registration.py",
-        "if self._own in await",
+        "if self._local_node in await",
         "if None in await",
         NEWS,
     ),
@@ -544,21 +544,21 @@
     Mutation(
         "a suspected request gets its second try",
         f"{EDGE}/forwarder.py",
-        "if failure.is_break and self._crashes.is_suspect(admitted):",
+        "if failure.is_connection_lost and self._crash_tracker.is_suspect(admitted):",
         "if False:",
         CRASHING,
     ),
     Mutation(
         "a node that starts takes over no records",
         f"{EDGE}/peer_state_exchange.py",
-        "self._crashes.merge_notes(found.crashes)",
+        "self._crash_tracker.merge_notes(received.crashes)",
         "pass",
         CRASHING,
     ),
     Mutation(
         "nobody reads what the store keeps of refused requests",
         f"{EDGE}/crash_archive.py",
-        "await self._read()",
+        "await self._load()",
         "return",
         CRASHING,
     ),
@@ -572,7 +572,7 @@
     Mutation(
         "a suspected request follows its prompt",
         f"{EDGE}/forwarder.py",
-        "key = self._crashes.key_apart(admitted)",
+        "key = self._crash_tracker.isolation_key(admitted)",
         "key = None",
         CRASHING,
     ),
@@ -607,7 +607,7 @@
     Mutation(
         "the home in another zone is not told of a drain",
         f"{EDGE}/edge_io.py",
-        "self.broadcaster.send_to(home, news)",
+        "self.broadcaster.send_to(home, changes)",
         "pass",
         SIGNALS,
     ),
@@ -628,7 +628,7 @@
     Mutation(
         "a connection is kept longer than its runner says",
         f"{EDGE}/runner_protocol.py",
-        "if said is not None:",
+        "if announced is not None:",
         "if False:",
         CALLS,
     ),
