--- a/packages/clementineyoke-core/src/clementineyoke_core/membership_update.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership_update.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other about a third."""
+"""State of a node as spread by gossip."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class NodeState(IntEnum):
-    """A node's state in the views of others; the larger one wins a tie."""
+    """A node's state in a view; at the same incarnation the larger value wins."""
 
     ALIVE = 0
     DOWN = 1
@@ -15,12 +15,12 @@
 
 
 class MembershipUpdate(NamedTuple):
-    """A node's state, as of one of its incarnations."""
+    """A node's state at one of its incarnations."""
 
     node_id: str
     incarnation: int
     state: NodeState
 
-    def beats(self, other: MembershipUpdate) -> bool:
-        """Return whether this is newer than another rumour of the same node."""
+    def supersedes(self, other: MembershipUpdate) -> bool:
+        """Return whether this is newer than another update on the same node."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -49,7 +49,7 @@
             if self._table.is_ready(runner_id):
                 found_ready = True
                 yield runner_id
-            elif self._table.may_be_pressed(runner_id):
+            elif self._table.is_last_resort(runner_id):
                 quarantined.append(runner_id)
         if not found_ready:
             yield from quarantined
@@ -64,7 +64,7 @@
         for other_id in ring.order(key):
             if other_id == runner_id:
                 return
-            why = self._table.why_closed(other_id)
+            why = self._table.unavailable_reason(other_id)
             if why is not None:
                 yield other_id, why
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
@@ -1,4 +1,4 @@
-"""The one serialized writer of every runner's state on this node."""
+"""State of every runner on this node; the only place where it is changed."""
 
 from __future__ import annotations
 
@@ -11,56 +11,58 @@
 
     from clementineyoke_core.runner import Runner
 
-FIRST_QUARANTINE_MS = 500
-LONGEST_QUARANTINE_MS = 30_000
-LIST_LAG_MS = 30_000
-"""How long a runner's own word outweighs a list that still shows it live."""
+MIN_QUARANTINE_MS = 500
+MAX_QUARANTINE_MS = 30_000
+MAX_LIST_LAG_MS = 30_000
+"""How long a runner's own report overrides a host list that still shows it live."""
 
 
 class RunnerEntry(NamedTuple):
-    """A runner with its state and the evidence for it."""
+    """A runner with its state."""
 
     runner: Runner
     state: RunnerState
     failures: int
-    """Transport failures in a row, before a request had begun."""
+    """Consecutive transport failures before a request had begun."""
     retry_at_ms: float
-    """When a quarantined runner may be probed again, or a list that shows a draining
-    one live is believed; monotonic."""
+    """Monotonic time from which a quarantined runner may be probed again.
+
+    For a draining runner: from which a host list that shows it live is believed.
+    """
 
 
 class RunnerTable:
-    """Keep each runner's state; all evidence comes through its methods.
+    """Keep the state of each runner, from the host list, probes and own traffic.
 
-    Evidence of several kinds races: the list (lagging), probes and own traffic. What
-    goes wrong without one writer: a probe that began before a drain marks the runner
-    ready again, seen as new work on a leaving runner. Draining is therefore final
-    here until the list drops the runner or shows it live again; and when the runner
-    itself said so, a lagging list that still shows it live is not believed for a while.
+    These sources race with each other: without a single writer, a probe that began
+    before a drain marks the runner ready again, and a leaving runner gets new work.
+    Draining therefore ends only when the list drops the runner or shows it live again.
+    If the runner itself reported that it drains, a list that still shows it live is
+    ignored for ``MAX_LIST_LAG_MS``, as the list lags behind.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, RunnerEntry] = {}
-        self._evacuated: dict[str, int] = {}
+        self._evacuated_zones: dict[str, int] = {}
         self._backoffs: dict[str, float] = {}
-        """Until when this node backs off from which lifetimes; monotonic."""
+        """Monotonic end of this node's backoff, by runner lifetime."""
 
     def set_evacuated_zones(self, zones: dict[str, int]) -> None:
-        """Take the zones whose runners get nothing new, with the orders' revisions."""
-        self._evacuated = zones
+        """Set the zones whose runners get no new work, with their orders' revisions."""
+        self._evacuated_zones = zones
 
     def evacuated_zones(self) -> dict[str, int]:
-        """Return those zones, for logs and status pages."""
-        return self._evacuated
+        """Return the evacuated zones with the revisions of their orders."""
+        return self._evacuated_zones
 
     def is_evacuated(self, runner: Runner) -> bool:
-        """Return whether the operator wants nothing new for a runner's zone."""
-        return runner.availability_zone in self._evacuated
+        """Return whether a runner's zone is evacuated by the operator."""
+        return runner.availability_zone in self._evacuated_zones
 
     def apply_host_list(
         self, *, live: Iterable[Runner], leaving: Iterable[Runner], now_ms: float
     ) -> bool:
-        """Take a new host list; return whether the set of runners changed."""
+        """Apply a new host list; return whether the set of runners changed."""
         entries: dict[str, RunnerEntry] = {}
         for runner in live:
             entries[runner.runner_id] = self._keep_or_add(runner, now_ms)
@@ -73,11 +75,11 @@
         return changed
 
     def get(self, runner_id: str) -> RunnerEntry | None:
-        """Return a runner's entry, or None if the list does not hold it."""
+        """Return a runner's entry, or None if it is not on the host list."""
         return self._entries.get(runner_id)
 
     def entries(self) -> list[RunnerEntry]:
-        """Return all entries, for status pages and ring building."""
+        """Return the entries of all runners."""
         return list(self._entries.values())
 
     def by_pool(self, *, region: str) -> dict[str, list[str]]:
@@ -92,41 +94,41 @@
     def is_ready(self, runner_id: str) -> bool:
         """Return whether a runner may get new work now."""
         entry = self._entries.get(runner_id)
-        if entry is None or not self._is_open(entry.runner):
+        if entry is None or not self._is_available(entry.runner):
             return False
         return entry.state is RunnerState.READY
 
     def is_current(self, runner: Runner) -> bool:
-        """Return whether the list holds this very lifetime of a runner.
+        """Return whether the host list has this lifetime of a runner.
 
-        Word of a call to an earlier lifetime says nothing of the runner there now.
+        The outcome of a call to an earlier lifetime says nothing about the current one.
         """
         entry = self._entries.get(runner.runner_id)
         return entry is not None and entry.runner.lifetime == runner.lifetime
 
     def is_draining(self, runner_id: str) -> bool:
-        """Return whether a runner drains or is gone."""
+        """Return whether a runner is draining or not on the host list."""
         entry = self._entries.get(runner_id)
         return entry is None or entry.state is RunnerState.DRAINING
 
     def is_quarantined(self, runner_id: str) -> bool:
-        """Return whether a runner is out for a while after failures."""
+        """Return whether a runner is quarantined after failures."""
         entry = self._entries.get(runner_id)
         return entry is not None and entry.state is RunnerState.QUARANTINED
 
-    def may_be_pressed(self, runner_id: str) -> bool:
-        """Return whether a quarantined runner may get calls if no other one can."""
+    def is_last_resort(self, runner_id: str) -> bool:
+        """Return whether a quarantined runner may get calls when no runner is ready."""
         entry = self._entries.get(runner_id)
-        if entry is None or not self._is_open(entry.runner):
+        if entry is None or not self._is_available(entry.runner):
             return False
         return entry.state is RunnerState.QUARANTINED
 
     def is_backed_off(self, runner: Runner) -> bool:
-        """Return whether this node backs off from a runner that asked for it."""
+        """Return whether this node backs off from a runner at the runner's request."""
         return runner.lifetime in self._backoffs
 
-    def why_closed(self, runner_id: str) -> str | None:
-        """Return by which signal of its own a runner takes no calls, or None."""
+    def unavailable_reason(self, runner_id: str) -> str | None:
+        """Return why a runner takes no calls, ``draining`` or ``backoff``, or None."""
         entry = self._entries.get(runner_id)
         if entry is None:
             return None
@@ -135,12 +137,12 @@
         return "backoff" if self.is_backed_off(entry.runner) else None
 
     def backoff_remaining_ms(self, pool: str, *, now_ms: float) -> float:
-        """Return the shortest time left to back off from a runner of a pool.
+        """Return the shortest remaining backoff of a pool's runners, or 0 without any.
 
-        0 if there is none. Draining runners and those of an emptied zone are left out:
-        they take no calls afterwards either.
+        Draining runners and those of an evacuated zone do not count, as they take no
+        calls after the backoff either.
         """
-        left_ms = [
+        remaining_ms = [
             self._backoffs[entry.runner.lifetime] - now_ms
             for entry in self._entries.values()
             if entry.runner.pool == pool
@@ -148,12 +150,12 @@
             and entry.state is not RunnerState.DRAINING
             and not self.is_evacuated(entry.runner)
         ]
-        return max(0.0, min(left_ms, default=0.0))
+        return max(0.0, min(remaining_ms, default=0.0))
 
     def record_backoff(
         self, runner: Runner, *, backoff_ms: float, now_ms: float
     ) -> bool:
-        """Back off from a runner for a while; return whether that prolongs it.
+        """Back off from a runner; return whether that begins or prolongs a backoff.
 
         A later refusal with a shorter time does not end an earlier backoff.
         """
@@ -164,16 +166,16 @@
         return True
 
     def end_expired_backoffs(self, *, now_ms: float) -> None:
-        """Let calls go again to runners whose backoff is over."""
-        for lifetime in [name for name, due in self._backoffs.items() if due <= now_ms]:
+        """Remove the backoffs that are over."""
+        for lifetime in [key for key, end in self._backoffs.items() if end <= now_ms]:
             del self._backoffs[lifetime]
 
     def record_draining(self, runner_id: str, *, now_ms: float) -> None:
-        """Note that the runner itself said that it is leaving."""
+        """Record that a runner itself reported that it is draining."""
         entry = self._entries.get(runner_id)
         if entry is not None:
             self._entries[runner_id] = RunnerEntry(
-                entry.runner, RunnerState.DRAINING, 0, now_ms + LIST_LAG_MS
+                entry.runner, RunnerState.DRAINING, 0, now_ms + MAX_LIST_LAG_MS
             )
 
     def record_transport_failure(self, runner_id: str, *, now_ms: float) -> None:
@@ -182,13 +184,13 @@
         if entry is None or entry.state is RunnerState.DRAINING:
             return
         failures = entry.failures + 1
-        pause_ms = min(FIRST_QUARANTINE_MS * 2 ** (failures - 1), LONGEST_QUARANTINE_MS)
+        quarantine_ms = min(MIN_QUARANTINE_MS * 2 ** (failures - 1), MAX_QUARANTINE_MS)
         self._entries[runner_id] = RunnerEntry(
-            entry.runner, RunnerState.QUARANTINED, failures, now_ms + pause_ms
+            entry.runner, RunnerState.QUARANTINED, failures, now_ms + quarantine_ms
         )
 
     def record_probe(self, runner_id: str, *, ready: bool, now_ms: float) -> None:
-        """Take a probe's answer; a ready one ends quarantine and warm-up."""
+        """Record a probe's result; a ready runner leaves quarantine and warm-up."""
         entry = self._entries.get(runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
             return
@@ -201,16 +203,16 @@
         self._entries[runner_id] = entry._replace(state=RunnerState.NOT_READY)
 
     def record_success(self, runner_id: str) -> None:
-        """Forget earlier failures once a request has been answered."""
+        """Reset the failure count after an answered request."""
         entry = self._entries.get(runner_id)
         if entry is not None and entry.failures:
             self._entries[runner_id] = entry._replace(failures=0)
 
     def end_expired_quarantines(self, *, now_ms: float) -> list[str]:
-        """Let runners back whose quarantine is over, and return their ids.
+        """Mark runners ready whose quarantine is over, and return their ids.
 
-        For runners whose status checks have a price or say little: the next call is
-        the proof, and a failure doubles the next quarantine.
+        Replaces probes for runners whose status checks are expensive or unreliable:
+        the next call is the test, and its failure doubles the next quarantine.
         """
         due = [
             runner_id
@@ -223,7 +225,7 @@
         return due
 
     def due_for_probe(self, *, now_ms: float) -> list[Runner]:
-        """Return the runners whose quarantine or warm-up wants a probe now."""
+        """Return the runners in quarantine or warm-up that are due for a probe."""
         return [
             entry.runner
             for entry in self._entries.values()
@@ -231,13 +233,13 @@
             or (entry.state is RunnerState.QUARANTINED and entry.retry_at_ms <= now_ms)
         ]
 
-    def _is_open(self, runner: Runner) -> bool:
+    def _is_available(self, runner: Runner) -> bool:
         return not self.is_evacuated(runner) and not self.is_backed_off(runner)
 
     def _keep_or_add(self, runner: Runner, now_ms: float) -> RunnerEntry:
         known = self._entries.get(runner.runner_id)
         if known is None or known.runner.lifetime != runner.lifetime:
-            # Failures and a leaving of the lifetime before say nothing of this one.
+            # The state of the previous lifetime says nothing about this one.
             return RunnerEntry(runner, RunnerState.READY, 0, 0.0)
         if known.state is RunnerState.DRAINING and known.retry_at_ms <= now_ms:
             return RunnerEntry(runner, RunnerState.READY, 0, 0.0)
--- a/packages/clementineyoke-core/tests/steps/membership_steps.py
+++ b/packages/clementineyoke-core/tests/steps/membership_steps.py
@@ -34,28 +34,28 @@
         context.view.record_missed_probe(node_id)
 
 
-@when("{node_id} hears that it is rumoured down and answers")
+@when("{node_id} receives the update that it is down and answers")
 def refute(context, node_id):
     subject = make_view(context.nodes, context.nodes[3])
-    rumours = context.view.updates_to_send(receiver=node_id)
-    for rumour in rumours:
-        subject.apply_update(rumour)
-    assert subject.incarnation > 100, "the rumour was not refuted"
+    updates = context.view.updates_to_send(receiver=node_id)
+    for update in updates:
+        subject.apply_update(update)
+    assert subject.incarnation > 100, "the update was not refuted"
     context.view.record_message(node_id, incarnation=subject.incarnation)
 
 
-@when("{node_id} says that it is leaving")
-def say_leaving(context, node_id):
+@when("{node_id} announces that it is leaving")
+def announce_leaving(context, node_id):
     context.view.apply_update(MembershipUpdate(node_id, 101, NodeState.LEAVING))
 
 
-@when("{node_id} is heard from again at its old incarnation")
-def heard_old(context, node_id):
+@when("a message from {node_id} arrives with its old incarnation")
+def receive_old(context, node_id):
     context.view.record_message(node_id, incarnation=101)
 
 
-@when("{node_id} is heard from with a higher incarnation")
-def heard_new(context, node_id):
+@when("a message from {node_id} arrives with a higher incarnation")
+def receive_new(context, node_id):
     context.view.record_message(node_id, incarnation=200)
 
 
@@ -85,38 +85,38 @@
     assert (node_id in alive) == (state == "alive")
 
 
-@then("the rumour of {node_id} is told to others")
-def check_told(context, node_id):
-    rumours = context.view.updates_to_send(receiver="node-5")
-    assert MembershipUpdate(node_id, 100, NodeState.DOWN) in rumours
+@then("the update on {node_id} is sent to others")
+def check_sent(context, node_id):
+    updates = context.view.updates_to_send(receiver="node-5")
+    assert MembershipUpdate(node_id, 100, NodeState.DOWN) in updates
 
 
-@then("{count:d} turns of probing reach every node, {node_id} included")
+@then("{count:d} turns of probing reach every node, including {node_id}")
 def check_probes(context, count, node_id):
     probed = {context.view.next_probe().node_id for _ in range(count)}
     assert probed == {node.node_id for node in context.nodes[1:]}
 
 
-@when("the own node begins to leave")
+@when("the local node begins to leave")
 def leave(context):
     context.view.begin_leaving()
 
 
-@then("a message to each of {count:d} peers that are told at once says so")
-def check_told(context, count):
+@then("a message to each of {count:d} peers contains the update")
+def check_all_informed(context, count):
     peers = context.view.sample(256)
     assert len(set(peers)) == count
-    own_id = context.view.local_node.node_id
+    local_id = context.view.local_node.node_id
     for peer in peers:
-        rumours = context.view.updates_to_send(receiver=peer.node_id)
-        assert MembershipUpdate(own_id, 101, NodeState.LEAVING) in rumours, peer
+        updates = context.view.updates_to_send(receiver=peer.node_id)
+        assert MembershipUpdate(local_id, 101, NodeState.LEAVING) in updates, peer
 
 
-ROUNDS_A_SECOND = 4
+ROUNDS_PER_S = 4
 
 
 class ProbingFleet:
-    """Let nodes probe each other in rounds; killed ones do not answer."""
+    """Fleet whose nodes probe each other in rounds; killed nodes do not answer."""
 
     def __init__(self, count):
         self.nodes = [make_node(number) for number in range(count)]
@@ -134,17 +134,17 @@
             if peer.node_id in self.killed:
                 view.record_missed_probe(peer.node_id)
                 continue
-            self.tell(view, self.views[peer.node_id])
-            self.tell(self.views[peer.node_id], view)
+            self.exchange(view, self.views[peer.node_id])
+            self.exchange(self.views[peer.node_id], view)
 
-    def tell(self, sender, receiver):
+    def exchange(self, sender, receiver):
         receiver.record_message(
             sender.local_node.node_id, incarnation=sender.incarnation
         )
-        for rumour in sender.updates_to_send(receiver=receiver.local_node.node_id):
-            receiver.apply_update(rumour)
+        for update in sender.updates_to_send(receiver=receiver.local_node.node_id):
+            receiver.apply_update(update)
 
-    def naming_killed(self):
+    def nodes_with_killed_alive(self):
         return [
             node_id
             for node_id, view in self.views.items()
@@ -169,12 +169,14 @@
 
 @when("{count:d} of them are killed at the same moment")
 def kill(context, count):
-    zone = [node.node_id for node in context.fleet.nodes if node.node_id != "node-0"]
-    context.fleet.killed = set(zone[:count])
+    node_ids = [
+        node.node_id for node in context.fleet.nodes if node.node_id != "node-0"
+    ]
+    context.fleet.killed = set(node_ids[:count])
 
 
-@then("after {seconds:d} s none of the others names one of them")
-def check_not_named(context, seconds):
-    for _ in range(seconds * ROUNDS_A_SECOND):
+@then("after {seconds:d} s no other node counts any of them as alive")
+def check_detected(context, seconds):
+    for _ in range(seconds * ROUNDS_PER_S):
         context.fleet.run_round()
-    assert context.fleet.naming_killed() == []
+    assert context.fleet.nodes_with_killed_alive() == []
--- a/packages/clementineyoke-core/tests/steps/runner_table_steps.py
+++ b/packages/clementineyoke-core/tests/steps/runner_table_steps.py
@@ -15,12 +15,12 @@
     assert context.runners.is_ready("engine-1")
 
 
-@when("the runner says that it drains")
-def drain(context):
+@when("the runner reports that it is draining")
+def report_draining(context):
     context.runners.record_draining("engine-1", now_ms=0)
 
 
-@when("a probe answers that it is ready")
+@when("a probe reports that it is ready")
 def probe_ready(context):
     context.runners.record_probe("engine-1", ready=True, now_ms=1)
 
@@ -51,13 +51,13 @@
     assert not context.runners.is_ready("engine-1")
 
 
-@then("the runner is probed only after {pause_ms:d} ms")
-def check_pause(context, pause_ms):
-    assert context.runners.due_for_probe(now_ms=pause_ms - 1) == []
-    assert context.runners.due_for_probe(now_ms=pause_ms) == [RUNNER]
+@then("the runner is probed only after {quarantine_ms:d} ms")
+def check_quarantine(context, quarantine_ms):
+    assert context.runners.due_for_probe(now_ms=quarantine_ms - 1) == []
+    assert context.runners.due_for_probe(now_ms=quarantine_ms) == [RUNNER]
 
 
-@then("a probe that succeeds makes it ready again")
+@then("a successful probe makes it ready again")
 def check_ready(context):
     context.runners.record_probe("engine-1", ready=True, now_ms=9_000)
     assert context.runners.is_ready("engine-1")
