--- a/packages/clementineyoke-core/src/clementineyoke_core/__init__.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the router fleet: no sockets, files, timers or clocks inside.
+"""Decision logic of the router fleet, without sockets, files, timers or clocks.
 
 Times are milliseconds of a monotonic clock and are passed in, as is randomness.
 """
--- a/packages/clementineyoke-core/src/clementineyoke_core/chat_key.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/chat_key.py
@@ -1,18 +1,19 @@
-"""The key by which a chat finds its runner again."""
+"""Key that routes all requests of a chat to the same runner."""
 
 from __future__ import annotations
 
 from clementineyoke_core.hashing import hash_text
 
-PREFIX_BLOCK_CHARACTERS = 1024
+MAX_PREFIX_CHARACTERS = 1024
 
 
 def chat_key(*, team: str, model: str, chat_id: str | None, prompt: str) -> int:
-    """Return a 64-bit key from the chat id, or else from the prompt's first block.
+    """Return a 64-bit key from the chat id or, without one, from the prompt's prefix.
 
-    The key holds the team, so two teams that pick the same chat id never share one.
+    The team is part of the key, so teams that choose the same chat id get different
+    keys.
     """
     if chat_id:
         return hash_text(f"chat\0{team}\0{model}\0{chat_id}")
-    head = prompt[:PREFIX_BLOCK_CHARACTERS]
-    return hash_text(f"prefix\0{team}\0{model}\0{head}")
+    prefix = prompt[:MAX_PREFIX_CHARACTERS]
+    return hash_text(f"prefix\0{team}\0{model}\0{prefix}")
--- a/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent-hash ring with a fixed number of points for each member."""
+"""Consistent-hash ring with a fixed number of points for each member."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
     from collections.abc import Iterable, Iterator
 
 DEFAULT_POINTS_PER_MEMBER = 64
-MOST_MEMBERS = 2**16
-"""Owners of points are numbers of 16 bits."""
+MAX_MEMBERS = 2**16
+"""Owners of points are stored as 16-bit numbers."""
 
 
 class HashRing:
     """Order members by key so that a join or leave moves few keys.
 
-    A lookup costs one bisection. ``replace`` touches only what changed: a member that
-    leaves or joins costs one copy of the points. Sorting all of them anew took 3.3 ms
-    for 75 members, seen in a release of 49 runners as nodes that answer callers late.
+    A lookup costs one bisection. ``set_members`` updates only what changed, at the cost
+    of one copy of the points. Sorting all points again takes 3.3 ms for 75 members, and
+    nodes answered callers late during a release of 49 runners.
     """
 
     def __init__(self, *, points_per_member: int = DEFAULT_POINTS_PER_MEMBER) -> None:
         self._points_per_member = points_per_member
         self._members: tuple[str, ...] = ()
-        # Arrays, not a list of pairs: 0.7 kB a member instead of 7 kB.
+        # Arrays take 0.7 kB per member; a list of pairs would take 7 kB.
         self._points = array("Q")
         self._owners = array("H")
-        self._places: dict[str, int] = {}
-        """The number by which a member owns points; kept while it is on the ring."""
+        self._numbers: dict[str, int] = {}
+        """Number that stands for a member in ``_owners`` while it is on the ring."""
         self._names: dict[int, str] = {}
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The members in force, sorted."""
+        """The current members, sorted."""
         return self._members
 
     def set_members(self, members: Iterable[str]) -> bool:
-        """Take a new set of members; return whether anything changed."""
-        wanted = tuple(sorted(set(members)))
-        if wanted == self._members:
+        """Replace the members; return whether anything changed."""
+        new_members = tuple(sorted(set(members)))
+        if new_members == self._members:
             return False
-        known = self._places.keys()
-        gone = known - set(wanted)
-        joined = [member for member in wanted if member not in known]
-        if gone:
-            self._drop(gone)
+        current = self._numbers.keys()
+        departed = current - set(new_members)
+        joined = [member for member in new_members if member not in current]
+        if departed:
+            self._remove(departed)
         if joined:
             self._insert(joined)
-        self._members = wanted
+        self._members = new_members
         return True
 
     def first(self, key: int) -> str | None:
@@ -62,7 +62,7 @@
         return self._names[self._owners[index]]
 
     def order(self, key: int) -> Iterator[str]:
-        """Yield every member once, the owner of the key first."""
+        """Yield every member once in ring order, from the owner of the key on."""
         owners = self._owners
         names = self._names
         size = len(owners)
@@ -77,58 +77,58 @@
             if len(seen) == len(names):
                 return
 
-    def _drop(self, gone: set[str]) -> None:
-        dropped: list[int] = []
-        for member in gone:
-            place = self._places.pop(member)
-            del self._names[place]
-            dropped.extend(self._positions_of(place))
+    def _remove(self, departed: set[str]) -> None:
+        removed: list[int] = []
+        for member in departed:
+            number = self._numbers.pop(member)
+            del self._names[number]
+            removed.extend(self._positions_of(number))
         points, owners = array("Q"), array("H")
-        done = 0
-        for position in sorted(dropped):
-            points.extend(self._points[done:position])
-            owners.extend(self._owners[done:position])
-            done = position + 1
-        points.extend(self._points[done:])
-        owners.extend(self._owners[done:])
+        start_index = 0
+        for position in sorted(removed):
+            points.extend(self._points[start_index:position])
+            owners.extend(self._owners[start_index:position])
+            start_index = position + 1
+        points.extend(self._points[start_index:])
+        owners.extend(self._owners[start_index:])
         self._points, self._owners = points, owners
 
-    def _positions_of(self, place: int) -> list[int]:
+    def _positions_of(self, number: int) -> list[int]:
         positions: list[int] = []
         next_position = 0
         for _ in range(self._points_per_member):
-            position = self._owners.index(place, next_position)
+            position = self._owners.index(number, next_position)
             positions.append(position)
             next_position = position + 1
         return positions
 
     def _insert(self, joined: list[str]) -> None:
-        """Merge the new members' points into the sorted ones, piece by piece."""
-        fresh: list[tuple[int, int]] = []
+        """Merge the points of new members into the sorted points."""
+        new_points: list[tuple[int, int]] = []
         for member in joined:
-            place = self._take_place(member)
-            fresh.extend((point, place) for point in self._hash_points(member))
-        fresh.sort()
+            number = self._assign_number(member)
+            new_points.extend((point, number) for point in self._hash_points(member))
+        new_points.sort()
         points, owners = array("Q"), array("H")
-        done = 0
-        for point, place in fresh:
-            index = bisect_right(self._points, point, done)
-            points.extend(self._points[done:index])
-            owners.extend(self._owners[done:index])
+        start_index = 0
+        for point, number in new_points:
+            index = bisect_right(self._points, point, start_index)
+            points.extend(self._points[start_index:index])
+            owners.extend(self._owners[start_index:index])
             points.append(point)
-            owners.append(place)
-            done = index
-        points.extend(self._points[done:])
-        owners.extend(self._owners[done:])
+            owners.append(number)
+            start_index = index
+        points.extend(self._points[start_index:])
+        owners.extend(self._owners[start_index:])
         self._points, self._owners = points, owners
 
-    def _take_place(self, member: str) -> int:
-        place = len(self._names)
-        while place in self._names:
-            place = (place + 1) % MOST_MEMBERS
-        self._places[member] = place
-        self._names[place] = member
-        return place
+    def _assign_number(self, member: str) -> int:
+        number = len(self._names)
+        while number in self._names:
+            number = (number + 1) % MAX_MEMBERS
+        self._numbers[member] = number
+        self._names[number] = member
+        return number
 
     def _hash_points(self, member: str) -> list[int]:
         return [
--- a/packages/clementineyoke-core/src/clementineyoke_core/hashing.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/hashing.py
@@ -1,4 +1,4 @@
-"""The one hash that every node uses, so that all nodes agree without talking."""
+"""Hash function shared by all nodes, so that they agree without communication."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def hash_text(text: str) -> int:
-    """Return the 64-bit hash of a text; the same on every node and restart."""
+    """Return the 64-bit hash of a text, the same on every node and after a restart."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/packages/clementineyoke-core/src/clementineyoke_core/home_nodes.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/home_nodes.py
@@ -1,4 +1,4 @@
-"""Which node is home of what, derived by each node from its own membership view."""
+"""Home node of each name, computed by each node from its own membership view."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class HomeNodes:
-    """Give each name (of a team's budget, a claim shard) one home among the nodes.
+    """Assign one home node to each name, such as a team's budget or a claim shard.
 
-    Two nodes whose views differ for seconds may name two homes. That is harmless by
-    design: a budget's home is at worst doubled for a moment, claims are fenced by the
-    platform's object version.
+    Nodes whose views differ may name two homes for some seconds. This is safe: a team's
+    budget is at worst available twice for that time, and writes of claims are fenced by
+    the platform's object version.
     """
 
     def __init__(self) -> None:
@@ -21,18 +21,18 @@
         self._cache: dict[str, str | None] = {}
 
     def set_nodes(self, node_ids: list[str]) -> bool:
-        """Take the nodes now believed alive; return whether homes may have moved."""
+        """Set the nodes that are alive; return whether homes may have moved."""
         changed = self._ring.set_members(node_ids)
         if changed:
             self._cache.clear()
         return changed
 
     def home_of(self, name: str) -> str | None:
-        """Return the node that is home of a name, or None with no nodes."""
+        """Return the home node of a name, or None without nodes."""
         if name not in self._cache:
             self._cache[name] = self._ring.first(hash_text(name))
         return self._cache[name]
 
     def homes_of(self, key: int, *, max_nodes: int) -> list[str]:
-        """Return the nodes that are homes of a 64-bit key, the first one first."""
+        """Return the home nodes of a 64-bit key, the primary one first."""
         return list(islice(self._ring.order(key), max_nodes))
--- a/packages/clementineyoke-core/src/clementineyoke_core/node.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/node.py
@@ -1,4 +1,4 @@
-"""What the fleet knows of one of its own nodes."""
+"""Node of the router fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Node(NamedTuple):
-    """A router node, as the host list names it."""
+    """A router node as on the host list."""
 
     node_id: str
     address: str
@@ -15,4 +15,4 @@
     availability_zone: str
     region: str
     calls_per_s: int = 0
-    """What its processor and link bear; 0 for a node that does not say."""
+    """Capacity of its processor and link in calls a second; 0 if unknown."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/outcome.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller may be told of its request when no runner's answer came."""
+"""Outcome reported to a caller whose request got no answer from a runner."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Outcome(Enum):
-    """Whether a request ran; nothing in between is ever claimed."""
+    """Whether a request ran."""
 
     NOT_RUN = "not_run"
-    """It did not run and will not: the caller may send it again."""
+    """It did not run and will not run; the caller may send it again."""
     RAN = "ran"
-    """It ran, though its answer is no longer there."""
+    """It ran, but its answer is no longer available."""
     UNKNOWN = "unknown"
     """It may have run."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/placement_token.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/placement_token.py
@@ -1,4 +1,4 @@
-"""A token by which a caller brings back where its chat's context lies."""
+"""Token that names the runner which holds a chat's context; kept by the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ChatScope(NamedTuple):
-    """Whose chat a token is for."""
+    """The chat that a token is valid for."""
 
     team_path: str
     pool: str
@@ -18,24 +18,24 @@
 
 
 class PlacementTokenCodec:
-    """Issue and read tokens; the fleet itself remembers no chat.
+    """Issue and read tokens, so that the fleet keeps no state per chat.
 
-    15 million chats do not fit a node. A token is only a preference under the bound:
-    a stale one costs nothing. It is authenticated, since a forged one would let one
-    team aim its chats at a runner of its choice and fill that up.
+    15 million chats do not fit into a node's memory. A token is only a preference
+    within the load bound, so a stale one does no harm. It is authenticated, as a team
+    could otherwise forge tokens to overload a runner of its choice.
     """
 
     def __init__(self, *, signer: TokenSigner) -> None:
         self._signer = signer
 
-    def issue(self, place: ChatScope, runner_id: str) -> str:
-        """Return the token that names a runner for a chat."""
-        return self._signer.sign(_scope(place), runner_id)
+    def issue(self, chat: ChatScope, runner_id: str) -> str:
+        """Return a token that names a runner for a chat."""
+        return self._signer.sign(_scope(chat), runner_id)
 
-    def read(self, place: ChatScope, token: str) -> str | None:
-        """Return the runner that a token names, or None if it is not ours."""
-        return self._signer.read(_scope(place), token)
+    def read(self, chat: ChatScope, token: str) -> str | None:
+        """Return the runner in a token, or None if it is not valid for the chat."""
+        return self._signer.read(_scope(chat), token)
 
 
-def _scope(place: ChatScope) -> str:
-    return f"place\0{place.team_path}\0{place.pool}\0{place.key}"
+def _scope(chat: ChatScope) -> str:
+    return f"place\0{chat.team_path}\0{chat.pool}\0{chat.key}"
--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -1,4 +1,4 @@
-"""One ring of runners for each pool of this node's region."""
+"""Consistent-hash ring of runners for each pool of this node's region."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class PoolRings:
     """Order a pool's ready runners for a key.
 
-    Rings hold every listed runner; those that are unready or leaving are skipped on
-    the walk, so that a quarantine of half a second moves no other chat.
+    A ring has every listed runner, and those that are not ready or leaving are skipped
+    in the order. A quarantine of half a second thus moves no chats of other runners.
     """
 
     def __init__(self, *, table: RunnerTable, region: str) -> None:
@@ -25,20 +25,20 @@
         self._rings: dict[str, HashRing] = {}
 
     def rebuild(self) -> None:
-        """Take the table's runners; cheap when little has changed."""
+        """Update the rings from the runner table; cheap if little has changed."""
         members: dict[str, list[str]] = {pool: [] for pool in self._rings}
         for entry in self._table.entries():
-            if self._belongs(entry):
+            if self._is_in_region(entry):
                 pool = members.setdefault(entry.runner.pool, [])
                 pool.append(entry.runner.runner_id)
         for pool_name, runner_ids in members.items():
             self._rings.setdefault(pool_name, HashRing()).set_members(runner_ids)
 
     def order(self, pool: str, key: int) -> Iterator[str]:
-        """Yield the pool's ready runners, the best for the key first.
+        """Yield the pool's ready runners in the order of the key.
 
-        With none ready the quarantined ones are yielded: when all have failed lately,
-        a refusal of everything would outlast the failure by a quarantine's length.
+        If none is ready, the quarantined ones are yielded: after a failure of all
+        runners, refusing every call would prolong the outage by a quarantine.
         """
         ring = self._rings.get(pool)
         if ring is None:
@@ -57,22 +57,22 @@
     def unavailable_before(
         self, pool: str, key: int, runner_id: str
     ) -> Iterator[tuple[str, str]]:
-        """Yield who precedes a runner in a key's order and takes no calls, and why."""
+        """Yield the runners before one in a key's order that take no calls, and why."""
         ring = self._rings.get(pool)
         if ring is None:
             return
         for other_id in ring.order(key):
             if other_id == runner_id:
                 return
-            why = self._table.unavailable_reason(other_id)
-            if why is not None:
-                yield other_id, why
+            reason = self._table.unavailable_reason(other_id)
+            if reason is not None:
+                yield other_id, reason
 
     def cache_candidates(self, pool: str, key: int) -> Iterator[str]:
-        """Yield who may hold what was cached by a key, the most likely first.
+        """Yield the runners that may have cached a key's context, most likely first.
 
-        Runners that are leaving, or whose zone is emptied, still answer for their
-        caches, and before that they stood in the key's order as now.
+        Includes runners that are leaving or in an evacuated zone: they still serve
+        their caches, and their position in the key's order is unchanged.
         """
         ring = self._rings.get(pool)
         if ring is None:
@@ -82,16 +82,16 @@
                 yield runner_id
 
     def has_ready(self, pool: str, runner_id: str | None) -> bool:
-        """Return whether a runner is of the pool in this region, and ready."""
+        """Return whether a runner is ready and in the pool of this region."""
         entry = None if runner_id is None else self._table.get(runner_id)
-        if entry is None or entry.runner.pool != pool or not self._belongs(entry):
+        if entry is None or entry.runner.pool != pool or not self._is_in_region(entry):
             return False
         return self._table.is_ready(entry.runner.runner_id)
 
     def size(self, pool: str) -> int:
-        """Return how many runners the pool's ring holds."""
+        """Return the number of runners on the pool's ring."""
         ring = self._rings.get(pool)
         return 0 if ring is None else len(ring.members)
 
-    def _belongs(self, entry: RunnerEntry) -> bool:
+    def _is_in_region(self, entry: RunnerEntry) -> bool:
         return entry.runner.region == self._region
--- a/packages/clementineyoke-core/src/clementineyoke_core/request_error.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/request_error.py
@@ -1,4 +1,4 @@
-"""The one error that ends a caller's request."""
+"""Error that ends a caller's request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestError(Exception):
-    """Say how a request ended, at which step and at which peer."""
+    """Failure of a request, with its outcome, step and peer."""
 
     def __init__(
         self,
@@ -30,4 +30,4 @@
         self.peer = peer
         self.retry_after_ms = retry_after_ms
         self.chat_id = chat_id
-        """For operators who look a chat up; not told to callers."""
+        """For operators only; not sent to callers."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/resume_token.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/resume_token.py
@@ -1,4 +1,4 @@
-"""A token by which a caller takes up a stream that broke."""
+"""Token with which a caller resumes a broken stream."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 
 class StreamLocation(NamedTuple):
-    """Which runner holds a stream, and under which request id."""
+    """The runner that holds a stream, and the stream's request id."""
 
     runner_id: str
     request_id: str
 
 
 class ResumeTokenCodec:
-    """Issue and read tokens; they count only for the team that began the stream.
+    """Issue and read tokens, each valid only for the team that started the stream.
 
-    An unsigned one would let a team read another's answer by guessing its request id.
+    With unsigned tokens a team could read another team's answer by guessing its request
+    id.
     """
 
     def __init__(self, *, signer: TokenSigner) -> None:
         self._signer = signer
 
-    def issue(self, team_path: str, place: StreamLocation) -> str:
-        """Return the token for a stream that begins."""
+    def issue(self, team_path: str, location: StreamLocation) -> str:
+        """Return a token for a new stream."""
         return self._signer.sign(
-            f"resume\0{team_path}", f"{place.request_id}/{place.runner_id}"
+            f"resume\0{team_path}", f"{location.request_id}/{location.runner_id}"
         )
 
     def read(self, team_path: str, token: str) -> StreamLocation | None:
-        """Return where the stream is, or None if the token is not the team's."""
+        """Return the stream's location, or None if the team's token is not valid."""
         value = self._signer.read(f"resume\0{team_path}", token)
         if value is None:
             return None
--- a/packages/clementineyoke-core/src/clementineyoke_core/retry_budget.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/retry_budget.py
@@ -1,34 +1,35 @@
-"""A bound on retries, so that failures cannot multiply the load."""
+"""Limit on retries, so that failures do not multiply the load."""
 
 from __future__ import annotations
 
-RETRY_SHARE = 0.1
-"""Retries that each first attempt earns."""
-MOST_SAVED = 20.0
+RETRY_RATIO = 0.1
+"""Retries allowed per request."""
+MAX_BALANCE = 20.0
+"""Retries that can be saved up."""
 
 
 class RetryBudget:
-    """Let retries be a tenth of the requests, and a few more after a quiet time.
+    """Allow retries for a tenth of the requests, plus some saved while few were needed.
 
-    When a zone dies every request fails at first. With three attempts each, the rest
-    would get three times its load at the worst moment, seen as a second wave of
-    failures.
+    When a zone fails, every request fails at first. With three attempts per request,
+    the remaining runners would get three times their load at the worst moment, which
+    causes a second wave of failures.
     """
 
     def __init__(
-        self, *, ratio: float = RETRY_SHARE, max_balance: float = MOST_SAVED
+        self, *, ratio: float = RETRY_RATIO, max_balance: float = MAX_BALANCE
     ) -> None:
-        self._share = ratio
-        self._most_saved = max_balance
-        self._saved = max_balance
+        self._ratio = ratio
+        self._max_balance = max_balance
+        self._balance = max_balance
 
     def deposit(self) -> None:
-        """Note a request's first attempt."""
-        self._saved = min(self._most_saved, self._saved + self._share)
+        """Credit the budget for a request's first attempt."""
+        self._balance = min(self._max_balance, self._balance + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take a retry from the budget; False when there is none left."""
-        if self._saved < 1.0:
+        """Take a retry from the budget; return False if there is none left."""
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner.py
@@ -1,4 +1,4 @@
-"""What the fleet knows of a runner from the host list."""
+"""Runner as described by the host list."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class RunnerKind(Enum):
-    """What stands behind a runner's address."""
+    """Kind of back end at a runner's address."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Runner(NamedTuple):
-    """A back end: one model engine or one copy of a plain service."""
+    """A back end: a model engine or a replica of a plain service."""
 
     runner_id: str
     address: str
@@ -27,20 +27,20 @@
     pool: str
     """The model that an engine serves, or the name of a plain service."""
     slots: int
-    """How many requests it takes at once."""
+    """Number of concurrent requests."""
     born_ms: int = 0
-    """When this lifetime began, Unix ms by its own clock; 0 if it does not say."""
+    """Start of this lifetime, in Unix ms by the runner's clock; 0 if unknown."""
 
     @property
     def lifetime(self) -> str:
-        """Name of this lifetime: a runner may start anew under the id that it had."""
+        """Name of this lifetime; a runner may restart under the same id."""
         return f"{self.runner_id}@{self.born_ms}" if self.born_ms else self.runner_id
 
     @property
     def lifetime_hash(self) -> int:
-        """By which messages between nodes name this lifetime.
+        """Hash that stands for this lifetime in messages between nodes.
 
-        A late word of an earlier lifetime names something that nobody knows any more,
-        and so changes nothing.
+        A late message about an earlier lifetime has a hash that no longer matches any
+        runner, and so has no effect.
         """
         return hash_text(self.lifetime)
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_state.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_state.py
@@ -1,4 +1,4 @@
-"""The explicit states of a runner (paper, section 3: replacing binary health)."""
+"""States of a runner, more detailed than healthy or unhealthy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RunnerState(Enum):
-    """Whether a runner may get new work, and if not, why not."""
+    """Whether a runner may get new work, and otherwise the reason."""
 
     READY = "ready"
     NOT_READY = "not_ready"
--- a/packages/clementineyoke-core/src/clementineyoke_core/steering.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/steering.py
@@ -1,4 +1,4 @@
-"""Which nodes a caller should connect to."""
+"""Selection of the nodes that a caller should connect to."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 if TYPE_CHECKING:
     from clementineyoke_core.node import Node
 
-FEWEST_NODES = 3
-REQUESTS_PER_S_A_NODE = 13.0
-KEEP_MS = 10_000
+MIN_NODES = 3
+REQUESTS_PER_S_PER_NODE = 13.0
+ANSWER_TTL_MS = 10_000
 
 
 class SteeringAnswer(NamedTuple):
-    """An ordered list of nodes and how long the caller may keep it."""
+    """An ordered list of nodes and how long the caller may use it."""
 
     nodes: list[Node]
     keep_ms: int
 
 
 class Steering:
-    """Order nodes for a team so that its traffic meets few of them.
+    """Select few nodes for each team.
 
-    Few nodes a team means few messages for its limit; the home of the chat's runner
-    first means no slot ask at all. Later entries serve when earlier ones are gone and
-    lie in other availability zones first.
+    With few nodes per team, few messages are needed for its rate limit. At the home of
+    the chat's runner a slot request needs no message at all, so that node comes first.
+    The other nodes serve as fallbacks and are spread over availability zones.
     """
 
     def __init__(
-        self, *, node_rate_per_s: float = REQUESTS_PER_S_A_NODE, keep_ms: int = KEEP_MS
+        self,
+        *,
+        node_rate_per_s: float = REQUESTS_PER_S_PER_NODE,
+        keep_ms: int = ANSWER_TTL_MS,
     ) -> None:
         self._node_rate_per_s = node_rate_per_s
         self._keep_ms = keep_ms
@@ -47,12 +50,12 @@
     ) -> SteeringAnswer:
         """Return the team's nodes, the home of the chat's runner first.
 
-        The others are turned by any number of the caller's: callers use the first
-        address, and one node would carry a whole team otherwise.
+        The others are rotated by a number that varies between answers: callers use the
+        first address, so without it one node would serve a whole team.
         """
-        wanted = max(FEWEST_NODES, math.ceil(team_rate_per_s / self._node_rate_per_s))
+        node_count = max(MIN_NODES, math.ceil(team_rate_per_s / self._node_rate_per_s))
         ranked = sorted(alive, key=lambda node: hash_text(f"{team}\0{node.node_id}"))
-        chosen = spread_over_zones(ranked)[:wanted]
+        chosen = spread_over_zones(ranked)[:node_count]
         first = [node for node in alive if node.node_id == chat_home]
         rest = [node for node in chosen if node.node_id != chat_home]
         start = rotation % max(1, len(rest))
@@ -60,7 +63,7 @@
 
 
 def spread_over_zones(ranked: list[Node]) -> list[Node]:
-    """Return the nodes so that each stretch of them lies in as many zones as it can."""
+    """Return the nodes interleaved by availability zone."""
     by_zone: dict[str, list[Node]] = {}
     for node in ranked:
         by_zone.setdefault(node.availability_zone, []).append(node)
--- a/packages/clementineyoke-core/src/clementineyoke_core/token_bucket.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on a clock that is passed in."""
+"""Token bucket; the caller passes in the time."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = burst
-        self._filled_ms = now_ms
+        self._refilled_at_ms = now_ms
 
     def configure(self, *, rate_per_s: float, burst: float) -> None:
-        """Take new limits; tokens already held never exceed the new burst."""
+        """Set new limits; tokens above the new burst are dropped."""
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def take_up_to(self, wanted: float, *, now_ms: float) -> float:
-        """Take what is there, at most what is wanted, and return it."""
+        """Take up to ``wanted`` tokens and return how many were taken."""
         self._refill(now_ms)
         taken = min(wanted, self._tokens)
         self._tokens -= taken
         return taken
 
     def take_one(self, *, now_ms: float) -> bool:
-        """Take a whole token, or nothing."""
+        """Take one token; return False if there is less than one."""
         self._refill(now_ms)
         if self._tokens < 1.0:
             return False
@@ -36,18 +36,18 @@
         return True
 
     def level(self, *, now_ms: float) -> float:
-        """Return how many tokens are there."""
+        """Return the number of tokens in the bucket."""
         self._refill(now_ms)
         return self._tokens
 
     def wait_ms(self) -> float:
-        """Return how long until a whole token will be there."""
+        """Return the time until there is a whole token."""
         missing = 1.0 - self._tokens
         if missing <= 0.0:
             return 0.0
         return missing / max(self._rate_per_s, 0.001) * MS_PER_S
 
     def _refill(self, now_ms: float) -> None:
-        elapsed_s = max(0.0, now_ms - self._filled_ms) / MS_PER_S
+        elapsed_s = max(0.0, now_ms - self._refilled_at_ms) / MS_PER_S
         self._tokens = min(self._burst, self._tokens + elapsed_s * self._rate_per_s)
-        self._filled_ms = max(self._filled_ms, now_ms)
+        self._refilled_at_ms = max(self._refilled_at_ms, now_ms)
--- a/packages/clementineyoke-core/tests/hash_ring.feature
+++ b/packages/clementineyoke-core/tests/hash_ring.feature
@@ -4,16 +4,15 @@
     Given a ring of 40 members
     When one member leaves
     Then only keys that it owned have a new owner
-    And each order still names every member once
+    And each order still has every member once
 
-  Scenario: Load spreads over members
+  Scenario: Keys are spread over the members
     Given a ring of 40 members
     Then no member owns more than twice its share of 20000 keys
 
-  Scenario: A ring that changes step by step
-    # Symptom: two nodes send one chat to two runners.
-    # Sequence: one has followed joins and leaves one by one, the other has just started.
-    # Cause: the ring depended on the order in which members came and went.
+  Scenario: A ring that is updated step by step
+    # One node has applied joins and leaves one by one, another has just started: if the ring
+    # depended on their order, the two nodes would send one chat to two runners.
     Given a ring of 40 members
-    When 200 members join and leave in turns
-    Then the order of each key is that of a ring made anew
+    When members join and leave in 200 steps
+    Then the order of each key is that of a newly built ring
--- a/packages/clementineyoke-core/tests/steps/hash_ring_steps.py
+++ b/packages/clementineyoke-core/tests/steps/hash_ring_steps.py
@@ -20,20 +20,20 @@
 @when("one member leaves")
 def leave(context):
     context.before = [context.ring.first(key) for key in KEYS]
-    context.gone = context.members.pop(3)
+    context.departed = context.members.pop(3)
     context.ring.set_members(context.members)
 
 
 @then("only keys that it owned have a new owner")
 def check_moved(context):
     for key, owner in zip(KEYS, context.before, strict=True):
-        if owner != context.gone:
+        if owner != context.departed:
             assert context.ring.first(key) == owner
         else:
-            assert context.ring.first(key) != context.gone
+            assert context.ring.first(key) != context.departed
 
 
-@then("each order still names every member once")
+@then("each order still has every member once")
 def check_order(context):
     for key in KEYS[:100]:
         order = list(context.ring.order(key))
@@ -49,8 +49,8 @@
     assert max(owned.values()) <= 2 * count / len(context.members), max(owned.values())
 
 
-@when("{count:d} members join and leave in turns")
-def churn(context, count):
+@when("members join and leave in {count:d} steps")
+def join_and_leave(context, count):
     rng = Random(11)
     for number in range(count):
         for _ in range(rng.randrange(3)):
@@ -59,10 +59,10 @@
         context.ring.set_members(context.members)
 
 
-@then("the order of each key is that of a ring made anew")
-def check_anew(context):
-    anew = HashRing()
-    anew.set_members(reversed(context.members))
-    assert anew.members == context.ring.members
+@then("the order of each key is that of a newly built ring")
+def check_new_ring(context):
+    new_ring = HashRing()
+    new_ring.set_members(reversed(context.members))
+    assert new_ring.members == context.ring.members
     for key in KEYS[:300]:
-        assert list(context.ring.order(key)) == list(anew.order(key))
+        assert list(context.ring.order(key)) == list(new_ring.order(key))
--- a/packages/clementineyoke-core/tests/steps/limits_steps.py
+++ b/packages/clementineyoke-core/tests/steps/limits_steps.py
@@ -7,61 +7,64 @@
 
 
 @given("a team's budget of {rate:d} requests a second with a burst of {burst:d}")
-def given_bucket(context, rate, burst):
+def given_budget(context, rate, burst):
     context.budget = TeamBudget(rate_per_s=rate, burst=burst, now_ms=0)
 
 
 @when("{count:d} nodes each offer {rate:d} requests a second for {seconds:d} seconds")
 def offer(context, count, rate, seconds):
-    purses = [TeamBudgetShare() for _ in range(count)]
+    shares = [TeamBudgetShare() for _ in range(count)]
     context.allowed = 0
     for number in range(rate * seconds):
         now_ms = 1 + number * 1000 / rate
-        for purse in purses:
-            context.allowed += spend(purse, context.budget, now_ms)
+        for share in shares:
+            context.allowed += spend(share, context.budget, now_ms)
 
 
-def spend(purse, budget, now_ms):
-    if purse.try_spend(now_ms=now_ms):
+def spend(share, budget, now_ms):
+    if share.try_spend(now_ms=now_ms):
         return True
-    wanted = purse.tokens_to_request(now_ms=now_ms)
+    wanted = share.tokens_to_request(now_ms=now_ms)
     grant = budget.grant(wanted, now_ms=now_ms)
-    purse.add_tokens(grant.tokens, now_ms=now_ms)
-    return purse.try_spend(now_ms=now_ms)
+    share.add_tokens(grant.tokens, now_ms=now_ms)
+    return share.try_spend(now_ms=now_ms)
 
 
-@then("the nodes let through {count:d} requests, give or take {percent:d} percent")
+@then("the nodes admit {count:d} requests, give or take {percent:d} percent")
 def check_allowed(context, count, percent):
-    off = abs(context.allowed - count) / count
-    assert off <= percent / 100, context.allowed
+    error = abs(context.allowed - count) / count
+    assert error <= percent / 100, context.allowed
 
 
-@given("a purse with {tokens:d} tokens")
-def given_purse(context, tokens):
-    context.purse = TeamBudgetShare()
-    context.purse.add_tokens(tokens, now_ms=0)
-    assert context.purse.try_spend(now_ms=1)
+@given("a budget share with {tokens:d} tokens")
+def given_share(context, tokens):
+    context.share = TeamBudgetShare()
+    context.share.add_tokens(tokens, now_ms=0)
+    assert context.share.try_spend(now_ms=1)
 
 
 @when("{count:d} nodes each send 2 requests a second for {seconds:d} seconds")
 def send_few(context, count, seconds):
-    purses = [TeamBudgetShare() for _ in range(count)]
-    context.asks = context.sent = 0
+    shares = [TeamBudgetShare() for _ in range(count)]
+    context.token_requests = context.sent = 0
     for number in range(2 * seconds):
         now_ms = 1 + number * 500
-        for purse in purses:
+        for share in shares:
             context.sent += 1
-            if not purse.try_spend(now_ms=now_ms):
-                context.asks += 1
-                wanted = purse.tokens_to_request(now_ms=now_ms)
+            if not share.try_spend(now_ms=now_ms):
+                context.token_requests += 1
+                wanted = share.tokens_to_request(now_ms=now_ms)
                 grant = context.budget.grant(wanted, now_ms=now_ms)
-                purse.add_tokens(grant.tokens, now_ms=now_ms)
-                assert purse.try_spend(now_ms=now_ms)
+                share.add_tokens(grant.tokens, now_ms=now_ms)
+                assert share.try_spend(now_ms=now_ms)
 
 
-@then("the home was asked for less than a third of them")
-def check_asks(context):
-    assert context.asks * 3 < context.sent, (context.asks, context.sent)
+@then("the home was asked for tokens for less than a third of them")
+def check_token_requests(context):
+    assert context.token_requests * 3 < context.sent, (
+        context.token_requests,
+        context.sent,
+    )
 
 
 @when("{elapsed_ms:d} ms pass")
@@ -69,9 +72,9 @@
     context.now_ms = elapsed_ms
 
 
-@then("the purse has nothing to spend")
-def check_purse(context):
-    assert not context.purse.try_spend(now_ms=context.now_ms)
+@then("the share has no tokens left")
+def check_share(context):
+    assert not context.share.try_spend(now_ms=context.now_ms)
 
 
 @when("the clock steps back by {step_ms:d} ms after the burst is spent")
@@ -81,6 +84,6 @@
     context.now_ms = 5_000 - step_ms
 
 
-@then("the bucket has nothing to give")
-def check_bucket(context):
+@then("the budget has no tokens left")
+def check_budget(context):
     assert context.budget.grant(1, now_ms=context.now_ms).tokens == 0
--- a/packages/clementineyoke-core/tests/steps/runner_homes_steps.py
+++ b/packages/clementineyoke-core/tests/steps/runner_homes_steps.py
@@ -37,7 +37,7 @@
         assert max(counted.values()) < count, counted
 
 
-@then("every runner has a home, the same in whatever order the lists come")
+@then("every runner has a home, the same for any order of the lists")
 def check_same(context):
     before = homes_by_runner(context)
     assert None not in before.values()
--- a/packages/clementineyoke-core/tests/steps/steering_steps.py
+++ b/packages/clementineyoke-core/tests/steps/steering_steps.py
@@ -8,14 +8,14 @@
 TEAM = "/league/finals"
 
 
-def answer(context, rate=1.0, chat_home=None, turn=0):
+def choose(context, rate=1.0, chat_home=None, rotation=0):
     steering = Steering()
     return steering.choose_nodes(
         team=TEAM,
         team_rate_per_s=rate,
         alive=context.nodes,
         chat_home=chat_home,
-        rotation=turn,
+        rotation=rotation,
     ).nodes
 
 
@@ -29,41 +29,43 @@
 
 @when("the first node of a team leaves")
 def leave(context):
-    context.before = answer(context)
+    context.before = choose(context)
     context.nodes.remove(context.before[0])
 
 
 @then("a small team gets {count:d} nodes in {zones:d} zones")
 def check_small(context, count, zones):
-    nodes = answer(context)
+    nodes = choose(context)
     assert len(nodes) == count
     assert len({node.availability_zone for node in nodes}) == zones
 
 
-@then("asking again gives the same nodes")
+@then("a repeated query gives the same nodes")
 def check_same(context):
-    assert answer(context) == answer(context)
+    assert choose(context) == choose(context)
 
 
-@then("in three turns each of the {count:d} nodes is first once")
-def check_turns(context, count):
-    firsts = [answer(context, turn=turn)[0].node_id for turn in range(count)]
-    assert sorted(firsts) == sorted(node.node_id for node in answer(context))
+@then("in three rotations each of the {count:d} nodes is first once")
+def check_rotation(context, count):
+    firsts = [
+        choose(context, rotation=rotation)[0].node_id for rotation in range(count)
+    ]
+    assert sorted(firsts) == sorted(node.node_id for node in choose(context))
 
 
 @then("a chat whose home is {node_id} gets {first} first")
 def check_home(context, node_id, first):
-    nodes = answer(context, chat_home=node_id)
+    nodes = choose(context, chat_home=node_id)
     assert nodes[0].node_id == first
     assert len({node.node_id for node in nodes}) == len(nodes)
 
 
 @then("a team of {rate:d} requests a second gets {count:d} nodes")
 def check_large(context, rate, count):
-    assert len(answer(context, rate=rate)) == count
+    assert len(choose(context, rate=rate)) == count
 
 
 @then("the team's other nodes stay")
 def check_stay(context):
-    after = answer(context)
+    after = choose(context)
     assert set(context.before[1:]) <= set(after)
