--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/__init__.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Run-once claims: which idempotency keys have been taken, and what came of them."""
+"""Run-once claims: idempotency keys in use and the results of their requests."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
@@ -1,4 +1,4 @@
-"""One shard of claims at its home: decide, batch, write conditionally, recover."""
+"""One shard of claims at its home node: decisions, batches and conditional writes."""
 
 from __future__ import annotations
 
@@ -20,60 +20,65 @@
 if TYPE_CHECKING:
     from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
 
-KEEP_MS = 600_000
-SPAN_MS = 20_000
-"""How long a segment takes claims: only the open one is written, so it stays small."""
-LARGEST_SEGMENT_BYTES = 350_000
-LARGEST_KEPT_ANSWER_BYTES = 2_048
+RETENTION_MS = 600_000
+SEGMENT_SPAN_MS = 20_000
+"""How long a segment takes claims; the open one is rewritten, so it stays small."""
+MAX_SEGMENT_BYTES = 350_000
+MAX_STORED_ANSWER_BYTES = 2_048
 
 
 class WriteKind(Enum):
-    """What a conditional update is for."""
+    """Purpose of a conditional update."""
 
     CLAIMS = "claims"
     SEAL = "seal"
-    """No home can add to the segment after this."""
+    """After it no home can add to the segment."""
     HEAD = "head"
-    """The next segment becomes the open one."""
+    """Makes the next segment the open one."""
 
 
 class ChainWrite(NamedTuple):
-    """A conditional update: write the body if the version still is the expected."""
+    """A conditional update: write the body if the object has the expected version."""
 
     kind: WriteKind
     name: str
     expected_version: int
-    """0 means that the object must not exist."""
+    """0 if the object must not exist."""
     body: bytes
     result: Segment | ChainHead
 
 
 class HeldClaim(NamedTuple):
-    """A claim, and the number of the newest segment that holds it."""
+    """A claim, and the number of the newest segment that contains it."""
 
     record: ClaimRecord
     number: int
 
 
 class ClaimChain:
-    """Hold the shard as last read or written; grant only what has been written.
-
-    Versions are the fence. A home that was paused, or that lost its role, writes
-    against an old version, is refused, reads again and decides anew. A write whose
-    reply was lost is repeated after a read: if it had taken effect, the read shows
-    this holder's record, which grants it.
-
-    A shard written whole each time ended at 7,700 claims. It is therefore a chain of
-    segments, and the danger is a paused home that adds a claim to a segment which the
-    others have left: one key, two holders. So a segment is sealed, by the same kind
-    of update that adds claims to it, before the head moves on.
+    """Hold the shard as last read or written; grant only claims that were written.
+
+    Object versions fence the writes. A home that was paused, or is no longer the home,
+    writes with an old version, is refused, reads the shard and decides again. A write
+    whose reply was lost is repeated after a read: if it had taken effect, the read has
+    this holder's record, which is then granted.
+
+    A single object that is rewritten with each change would limit a shard to 7,700
+    claims; a shard is therefore a chain of segments. A paused home could add a claim to
+    a segment after the others have moved on to the next, so that one key has two
+    holders. A segment is therefore sealed, by the same kind of update that adds claims
+    to it, before the head advances.
     """
 
     def __init__(
-        self, *, shard: str, retention_ms: int = KEEP_MS, span_ms: int = SPAN_MS
+        self,
+        *,
+        shard: str,
+        retention_ms: int = RETENTION_MS,
+        span_ms: int = SEGMENT_SPAN_MS,
     ) -> None:
         self._shard = shard
-        self._keep_ms = retention_ms
+        self._retention_ms = retention_ms
         self._span_ms = span_ms
         self._is_loaded = False
         self._head = ChainHead(0, 0)
@@ -88,11 +93,11 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Return whether the shard was read and nothing since has put that in doubt."""
+        """Whether the shard was read and no write since then has failed."""
         return self._is_loaded
 
     def load(self, read: ChainRead) -> None:
-        """Take what the platform holds."""
+        """Replace the state with what was read from the platform."""
         self._is_loaded = True
         self._head = read.head
         self._head_version = read.head_version
@@ -103,25 +108,25 @@
             self._slot_versions[number % RING_SLOTS] = stored.version
             if stored.segment is not None:
                 self._closed_at_ms[number - 1] = stored.segment.opened_at_ms
-                self._hold(stored.segment)
+                self._add_to_view(stored.segment)
         newest = read.segments[read.head.open]
         self._open = newest.segment or Segment(read.head.open, 0, False, {})
         self._open_version = newest.version
         self._open_bytes = 0 if newest.segment is None else len(encode(newest.segment))
 
     def mark_stale(self) -> None:
-        """Forget that the shard was read, after a refused or a lost write."""
+        """Require a new read, after a write was refused or its reply lost."""
         self._is_loaded = False
 
     def apply_report(self, report: ClaimReport) -> None:
-        """Take a report before it is durable, so that a repeat at once sees it."""
+        """Apply a report before it is durable, for repeats that arrive until then."""
         held = self._view.get(report.key)
         record = _after_report(held and held.record, report)
         if held is not None and record is not None:
             self._view[report.key] = HeldClaim(record, held.number)
 
     def decide(self, claim: ClaimAttempt) -> ClaimDecision | None:
-        """Answer from what is known, or None if the ask needs a write."""
+        """Return the decision on a claim, or None if it needs a write first."""
         record = self._find(claim.key)
         if record is None or record.state is ClaimState.FREE:
             if self._is_full:
@@ -138,29 +143,30 @@
     def next_write(
         self, claims: list[ClaimAttempt], reports: list[ClaimReport], *, wall_ms: int
     ) -> ChainWrite:
-        """Return the update that comes next.
+        """Return the next update to write.
 
-        Only one of kind CLAIMS makes asks and reports durable; after a SEAL or a HEAD
-        call again. Of two asks for one key in a batch the first gets the record, and
-        ``decide`` tells the other. Raises ``RuntimeError`` if nothing was read.
+        Only an update of kind CLAIMS contains the claims and reports; after a SEAL or a
+        HEAD call this again. If a batch has two claims for one key, the first gets the
+        record, and ``decide`` returns the decision on the other. Raises
+        ``RuntimeError`` if the shard was not read.
         """
         if not self._is_loaded:
             message = "the shard must be read before it is written"
             raise RuntimeError(message)
         if self._open.is_sealed:
             return self._write_head(wall_ms)
-        if self._is_to_seal(wall_ms):
+        if self._must_seal(wall_ms):
             sealed = Segment(
                 self._open.number, self._open.opened_at_ms, True, self._open.records
             )
             return self._write_segment(WriteKind.SEAL, sealed)
-        self._is_full = self._open_bytes >= LARGEST_SEGMENT_BYTES
+        self._is_full = self._open_bytes >= MAX_SEGMENT_BYTES
         if self._is_full:
             claims = []
         return self._write_claims(claims, reports, wall_ms)
 
     def record_written(self, write: ChainWrite, *, version: int) -> None:
-        """Note that the platform accepted a write as this version."""
+        """Record that the platform accepted a write, with its new version."""
         if isinstance(write.result, ChainHead):
             self._begin_segment(write.result, version)
             return
@@ -169,17 +175,19 @@
         self._open_bytes = len(write.body)
         self._slot_versions[self._open.number % RING_SLOTS] = version
         self._closed_at_ms[self._open.number - 1] = self._open.opened_at_ms
-        self._hold(self._open)
+        self._add_to_view(self._open)
 
     def _write_claims(
-        self, asks: list[ClaimAttempt], reports: list[ClaimReport], wall_ms: int
+        self, claims: list[ClaimAttempt], reports: list[ClaimReport], wall_ms: int
     ) -> ChainWrite:
         records = dict(self._open.records)
-        for ask in asks:
-            known = records.get(ask.key) or self._find(ask.key)
+        for claim in claims:
+            known = records.get(claim.key) or self._find(claim.key)
             if known is None or known.state is ClaimState.FREE:
-                records[ask.key] = ClaimRecord(ask.holder, ask.request_digest, wall_ms)
-        # Reports come second: a holder that gave up on its ask must leave no claim.
+                records[claim.key] = ClaimRecord(
+                    claim.holder, claim.request_digest, wall_ms
+                )
+        # Reports are applied last: a holder that has given up must not keep its claim.
         for report in reports:
             known = records.get(report.key) or self._find(report.key)
             record = _after_report(known, report)
@@ -194,10 +202,11 @@
         return ChainWrite(kind, name, self._open_version, encode(segment), segment)
 
     def _write_head(self, wall_ms: int) -> ChainWrite:
-        following = self._head.open + 1
-        # Whoever sealed found room in the ring, by a clock that may be ahead of ours.
-        first = max(self._first_alive(wall_ms), following - RING_SLOTS + 1)
-        head = ChainHead(first, following)
+        next_number = self._head.open + 1
+        # The ring has a free slot by the clock of the home that sealed the segment,
+        # which may be ahead of the local one.
+        first = max(self._first_retained(wall_ms), next_number - RING_SLOTS + 1)
+        head = ChainHead(first, next_number)
         name = head_name(self._shard)
         return ChainWrite(WriteKind.HEAD, name, self._head_version, encode(head), head)
 
@@ -216,29 +225,29 @@
         self._open_version = self._slot_versions.get(head.open % RING_SLOTS, 0)
         self._open_bytes = 0
 
-    def _is_to_seal(self, wall_ms: int) -> bool:
-        alive = self._head.open + 1 - self._first_alive(wall_ms) + 1
-        if not self._open.records or alive > RING_SLOTS:
+    def _must_seal(self, wall_ms: int) -> bool:
+        retained = self._head.open + 1 - self._first_retained(wall_ms) + 1
+        if not self._open.records or retained > RING_SLOTS:
             return False
         is_old = wall_ms - self._open.opened_at_ms >= self._span_ms
-        return is_old or self._open_bytes >= LARGEST_SEGMENT_BYTES
+        return is_old or self._open_bytes >= MAX_SEGMENT_BYTES
 
-    def _first_alive(self, wall_ms: int) -> int:
+    def _first_retained(self, wall_ms: int) -> int:
         first = self._head.first
         while first < self._head.open and self._is_expired(first, wall_ms):
             first += 1
         return first
 
     def _is_expired(self, number: int, wall_ms: int) -> bool:
-        # A segment took claims until it was closed, which is when the next one opened.
+        # A segment takes claims until the next one opens, so its age counts from then.
         closed_at_ms = self._closed_at_ms.get(number)
-        return closed_at_ms is not None and wall_ms - closed_at_ms >= self._keep_ms
+        return closed_at_ms is not None and wall_ms - closed_at_ms >= self._retention_ms
 
     def _find(self, key: str) -> ClaimRecord | None:
         held = self._view.get(key)
         return None if held is None else held.record
 
-    def _hold(self, segment: Segment) -> None:
+    def _add_to_view(self, segment: Segment) -> None:
         for key, record in segment.records.items():
             self._view[key] = HeldClaim(record, segment.number)
 
@@ -246,14 +255,15 @@
 def _after_report(
     record: ClaimRecord | None, report: ClaimReport
 ) -> ClaimRecord | None:
-    """Return the record as the report leaves it, or None if it is not the holder's.
+    """Return the record after the report, or None if the report is not its holder's.
 
-    A late report of an expired claim must not touch the key's next holder.
+    A late report on an expired claim must not change the record of the key's next
+    holder.
     """
     if record is None or record.holder != report.holder:
         return None
     answer = report.answer
-    if answer is not None and len(answer.body) > LARGEST_KEPT_ANSWER_BYTES:
+    if answer is not None and len(answer.body) > MAX_STORED_ANSWER_BYTES:
         answer = None
     state = ClaimState.FINISHED if report.ran else ClaimState.FREE
     return ClaimRecord(
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
@@ -1,4 +1,4 @@
-"""What the home of a claim answers."""
+"""Decision of a claim's home node."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class ClaimVerdict(IntEnum):
-    """The only answers to a claim."""
+    """Result of a claim."""
 
     GRANTED = 0
-    """The claim is durable and this holder's: it may run the request once."""
+    """The claim is durable and this holder's, which may run the request once."""
     ANSWERED = 1
-    """The key's request ran; the kept answer, if any, comes along."""
+    """The key's request has run; the decision has the stored answer, if any."""
     UNKNOWN = 2
-    """Another holder took the key and has not reported: it may have run."""
+    """Another holder has claimed the key and not reported: the request may have run."""
     MISMATCH = 3
     """The key was used for a different request."""
     UNAVAILABLE = 4
-    """Nothing was written for this holder that could make it run."""
+    """No claim was written for this holder, so the request does not run."""
 
 
 class ClaimDecision(NamedTuple):
-    """A verdict, with the kept answer of a finished call."""
+    """A verdict, with the stored answer of a finished request."""
 
     verdict: ClaimVerdict
     answer: StoredAnswer | None = None
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
@@ -1,4 +1,4 @@
-"""What a shard's home is asked and told."""
+"""Requests to the home node of a shard."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClaimAttempt(NamedTuple):
-    """A request that wants to run once under a key."""
+    """Attempt to claim a key for a request that must run once."""
 
     key: str
     holder: str
@@ -17,7 +17,7 @@
 
 
 class ClaimReport(NamedTuple):
-    """What a holder says became of its claim."""
+    """A holder's report on whether the request of its claim ran."""
 
     key: str
     holder: str
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/record.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/record.py
@@ -1,4 +1,4 @@
-"""What the platform keeps of claims."""
+"""Claims as stored on the platform."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class ClaimState(IntEnum):
-    """What became of a claim."""
+    """State of a claim."""
 
     TAKEN = 0
-    """Its holder may run, or have run, the request."""
+    """The holder may run, or may have run, the request."""
     FINISHED = 1
     FREE = 2
-    """Its holder did not run the request and never will."""
+    """The holder did not run the request and will not run it."""
 
 
 class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """A finished call's answer, small enough to keep for a repeat."""
+    """Answer of a finished request, small enough to be stored for repeats."""
 
     status: int
     content_type: str
@@ -26,13 +26,13 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who holds a key since when, and the answer once there is one."""
+    """Holder and state of a claimed key."""
 
     holder: str
-    """Unique to one request at one node's incarnation; never used again."""
+    """Unique to one request at one incarnation of a node; never reused."""
     request_digest: str
     claimed_at_ms: int
-    """Wall clock of the home that wrote it."""
+    """Wall clock of the home that wrote the record."""
     state: ClaimState = ClaimState.TAKEN
     answer: StoredAnswer | None = None
-    """None though finished: the answer was too large to keep."""
+    """None in a finished record if the answer was too large to store."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
@@ -1,4 +1,4 @@
-"""A shard's objects on the platform: a head, and a ring of segments of claims."""
+"""Objects of a shard on the platform: a head, and a ring of segments of claims."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from clementineyoke_core.claims.record import ClaimRecord  # noqa: TC001 (msgspec)
 
 RING_SLOTS = 40
-"""Segments a shard may have alive; a slot is used again when its segment expired."""
+"""Limit of retained segments per shard; a slot is reused after its segment expired."""
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """Claims of one span of time. Once sealed it is never written again."""
+    """Claims of one span of time; never written again once sealed."""
 
     number: int
     opened_at_ms: int
@@ -22,30 +22,30 @@
 
 
 class ChainHead(msgspec.Struct, frozen=True, array_like=True):
-    """The numbers of the oldest segment alive and of the open one."""
+    """Numbers of the oldest retained segment and of the open one."""
 
     first: int
     open: int
 
 
 INITIAL_HEAD = ChainHead(0, 0)
-"""Holds where no head has been written yet."""
+"""Head of a shard without a head object."""
 
 
 class StoredSegment(NamedTuple):
-    """A ring slot as read: its version, and its segment if it holds one."""
+    """A ring slot as read: its version, and its segment if it has one."""
 
     version: int
     segment: Segment | None
 
 
 class ChainRead(NamedTuple):
-    """Everything that a home reads of a shard."""
+    """A shard as read by its home."""
 
     head_version: int
     head: ChainHead
     segments: dict[int, StoredSegment]
-    """By segment number, from the head's first to its open one."""
+    """Segments by number, from the head's first to its open one."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -59,20 +59,20 @@
 
 
 def segment_name(shard: str, number: int) -> str:
-    """Return the name of the ring slot that a segment lies in."""
+    """Return the name of the object in whose ring slot a segment is stored."""
     return f"{shard}/{number % RING_SLOTS:02d}"
 
 
 def encode(value: Segment | ChainHead) -> bytes:
-    """Return the bytes of an object."""
+    """Encode a segment or head for the platform."""
     return _encoder.encode(value)
 
 
 def decode_segment(body: bytes) -> Segment:
-    """Read a segment; raises ``msgspec.DecodeError`` on anything else."""
+    """Decode a segment; raise ``msgspec.DecodeError`` if the body is not one."""
     return _segment_decoder.decode(body)
 
 
 def decode_head(body: bytes) -> ChainHead:
-    """Read a head; raises ``msgspec.DecodeError`` on anything else."""
+    """Decode a head; raise ``msgspec.DecodeError`` if the body is not one."""
     return _head_decoder.decode(body)
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/__init__.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/__init__.py
@@ -1,3 +1,3 @@
-"""The tree of settings: fields, validation, inheritance and its log of changes."""
+"""Settings tree: fields, validation, inheritance and the log of changes."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/change.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/change.py
@@ -1,4 +1,4 @@
-"""One accepted change of settings: an entry of the log."""
+"""Accepted change of settings, an entry of the log."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class SettingsChange(msgspec.Struct, frozen=True, kw_only=True):
-    """Edits of several paths that take effect together.
+    """Edits of one or more paths that take effect together.
 
-    The log holds one object a version, created only if it is not there: creating it
-    is the commit, and of two racing operators one finds it taken.
+    The log has one object per version, written only if it does not exist: creating the
+    object is the commit, and of two concurrent writers one fails.
     """
 
     version: int
     nonce: str
-    """Tells the writer its own change when the reply of the write was lost."""
+    """Identifies the writer's own change if the reply to its write was lost."""
     author: str
     note: str
     at_ms: int
-    """Wall clock of the writer, for people; decides nothing."""
+    """Wall clock of the writer; for information only."""
     edits: dict[str, dict[str, Any] | None]
 
 
@@ -29,10 +29,10 @@
 
 
 def encode_change(change: SettingsChange) -> bytes:
-    """Return the bytes that the platform keeps."""
+    """Encode a change for the platform."""
     return _encoder.encode(change)
 
 
 def decode_change(body: bytes) -> SettingsChange:
-    """Read a change; raises ``msgspec.DecodeError`` on anything else."""
+    """Decode a change; raise ``msgspec.DecodeError`` if the body is not one."""
     return _decoder.decode(body)
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/fault.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/fault.py
@@ -1,4 +1,4 @@
-"""One reason why settings are refused."""
+"""Fault found by the validation of settings."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SettingsFault(NamedTuple):
-    """Where in a settings document something is wrong, and what."""
+    """A fault in a settings document, with its path and field."""
 
     path: str
     field: str
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/fields.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/fields.py
@@ -1,20 +1,21 @@
-"""Every field that the settings tree may hold, with its bounds and default."""
+"""Fields of the settings tree, with their bounds and defaults."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-TYPE_NAMES = {int: "a whole number", float: "a number", list: "a list of texts"}
+TYPE_NAMES = {int: "a whole number", float: "a number", list: "a list of strings"}
 
 
 class Field(NamedTuple):
-    """A field's type, bounds (inclusive), default and meaning."""
+    """A field's type, bounds (inclusive), default and description."""
 
     kind: type
     default: object
-    lowest: float
-    highest: float
-    meaning: str
+    min_value: float
+    max_value: float
+    """For a list, the maximum number of entries."""
+    description: str
     team_only: bool = False
 
 
@@ -25,11 +26,13 @@
     "burst_requests": Field(
         float, 100.0, 1.0, 1e6, "Requests the team may send at once after a pause."
     ),
-    "priority": Field(int, 5, 0, 9, "Who waits first when slots are short; 0 is best."),
+    "priority": Field(
+        int, 5, 0, 9, "Order of service when slots are scarce; 0 is first."
+    ),
     "deadline_ms": Field(
-        int, 60_000, 10, 3_600_000, "Longest time for a whole answer."
+        int, 60_000, 10, 3_600_000, "Maximum time for a whole answer."
     ),
-    "queue_ms": Field(int, 1_000, 0, 60_000, "Longest wait for a slot."),
+    "queue_ms": Field(int, 1_000, 0, 60_000, "Maximum wait for a slot."),
     "models": Field(list, [], 0, 100, "Models the team may call."),
     "services": Field(list, [], 0, 100, "Plain services the team may call."),
     "key_hashes": Field(
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/log.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/log.py
@@ -1,4 +1,4 @@
-"""The settings in force on a node: a tree that only moves forward through its log."""
+"""Current settings of a node: a tree that follows its log of changes in order."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from clementineyoke_core.settings.change import SettingsChange
 
-RECENT_CHANGES = 512
+MAX_RECENT_CHANGES = 512
 
 
 class ApplyOutcome(Enum):
-    """What came of a change that was offered to the log."""
+    """Result of applying a change to the log."""
 
     APPLIED = "applied"
     ALREADY_IN_FORCE = "already_in_force"
@@ -26,10 +26,10 @@
 class SettingsLog:
     """Apply changes strictly in order of version.
 
-    What goes wrong otherwise: a slow peer or a watch with a gap offers an old change
-    after a new one, and a team sees yesterday's limit come back. Only the next version
-    is ever applied, so a node's version never falls and equal versions mean equal
-    trees.
+    A slow peer, or a watch with a gap, may deliver an old change after a new one; if it
+    were applied, a team would get an outdated limit again. Only the next version is
+    ever applied, so a node's version never decreases and nodes at the same version have
+    the same tree.
     """
 
     def __init__(self) -> None:
@@ -39,11 +39,11 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 means that nothing has been learnt yet."""
+        """The current version; 0 before the first change or snapshot."""
         return self._version
 
     def apply(self, change: SettingsChange) -> ApplyOutcome:
-        """Put the next change in force, or say why not."""
+        """Apply the change if it is the next one, and return the outcome."""
         if change.version <= self._version:
             return ApplyOutcome.ALREADY_IN_FORCE
         if change.version != self._version + 1:
@@ -51,16 +51,16 @@
         self.tree.apply(change.edits)
         self._version = change.version
         self._recent[change.version] = change
-        if len(self._recent) > RECENT_CHANGES:
+        if len(self._recent) > MAX_RECENT_CHANGES:
             self._recent.popitem(last=False)
         return ApplyOutcome.APPLIED
 
     def snapshot(self) -> SettingsSnapshot:
-        """Return the whole tree in force."""
+        """Return a snapshot of the current tree."""
         return SettingsSnapshot(version=self._version, packed=self.tree.packed())
 
     def restore(self, snapshot: SettingsSnapshot) -> bool:
-        """Jump to a newer version; an older one is never taken."""
+        """Replace the tree by a newer snapshot; return False if it is not newer."""
         if snapshot.version <= self._version:
             return False
         self.tree.replace(snapshot.packed)
@@ -69,8 +69,8 @@
         return True
 
     def changes_after(self, version: int) -> list[SettingsChange] | None:
-        """Return the changes a peer lacks, or None if some are no longer kept."""
-        wanted = range(version + 1, self._version + 1)
-        if any(number not in self._recent for number in wanted):
+        """Return the changes after a version, or None if some are no longer kept."""
+        versions = range(version + 1, self._version + 1)
+        if any(number not in self._recent for number in versions):
             return None
-        return [self._recent[number] for number in wanted]
+        return [self._recent[number] for number in versions]
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/tree.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/tree.py
@@ -1,4 +1,4 @@
-"""The tree itself: own values by path, and what each path inherits."""
+"""Settings tree: own values by path, and inherited values."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     from clementineyoke_core.settings.validation import Edits, Values
 
 DEFAULT_SOURCE = "default"
-RESOLVED_CACHE_PATHS = 2_048
+MAX_CACHED_PATHS = 2_048
 
 
 class Resolved(NamedTuple):
-    """A value and the path that it comes from."""
+    """A value and the path that defines it."""
 
     value: Any
     source: str
 
 
 class SettingsTree:
-    """Hold own values as packed bytes: 35,000 teams must fit in a node's budget."""
+    """Own values by path, encoded, so that 35,000 teams fit into a node's memory."""
 
     def __init__(self) -> None:
         self._packed: dict[str, bytes] = {}
         self._cache: OrderedDict[str, dict[str, Resolved]] = OrderedDict()
 
     def apply(self, edits: Edits) -> None:
-        """Replace the values of some paths; None removes a path."""
+        """Replace the values of the given paths; None removes a path."""
         for path, values in edits.items():
             if values is None:
                 self._packed.pop(path, None)
@@ -41,16 +41,16 @@
         self._cache.clear()
 
     def packed(self) -> dict[str, bytes]:
-        """Return all own values as they are held, for a snapshot."""
+        """Return all own values, encoded, for a snapshot."""
         return dict(sorted(self._packed.items()))
 
     def replace(self, packed: dict[str, bytes]) -> None:
-        """Take all own values from a snapshot."""
+        """Replace all own values by those of a snapshot."""
         self._packed = dict(packed)
         self._cache.clear()
 
     def own_values(self, path: str) -> Values | None:
-        """Return what a path itself says, or None if it is not in the tree."""
+        """Return the values set at a path itself, or None if it is not in the tree."""
         packed = self._packed.get(path)
         if packed is None:
             return None
@@ -58,11 +58,11 @@
         return values
 
     def paths(self) -> list[str]:
-        """Return every path that says something, sorted."""
+        """Return all paths in the tree, sorted."""
         return sorted(self._packed)
 
     def resolve(self, path: str) -> dict[str, Resolved]:
-        """Return each field's value at a path, with where it comes from."""
+        """Return each field's value at a path, own or inherited, with its source."""
         cached = self._cache.get(path)
         if cached is not None:
             self._cache.move_to_end(path)
@@ -71,7 +71,7 @@
         for name, value in (self.own_values(path) or {}).items():
             resolved[name] = Resolved(value, path)
         self._cache[path] = resolved
-        if len(self._cache) > RESOLVED_CACHE_PATHS:
+        if len(self._cache) > MAX_CACHED_PATHS:
             self._cache.popitem(last=False)
         return resolved
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
@@ -1,4 +1,4 @@
-"""Check a settings document as a whole and name every fault, not only the first."""
+"""Validation of settings documents; reports all faults instead of only the first."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ROOT = "/"
 TEAM_DEPTH = 2
-DEEPEST = 3
+MAX_DEPTH = 3
 _PATH = re.compile(r"/|(/[a-z0-9][a-z0-9._-]{0,63}){1,3}")
 _KEY_HASH = re.compile(r"[0-9a-f]{64}")
 
@@ -35,9 +35,13 @@
 
 
 def find_violations(document: object) -> list[SettingsFault]:
-    """Return every fault of a document of path to values; empty means valid."""
+    """Return all faults of a document that maps paths to values; none if valid."""
     if not isinstance(document, dict):
-        return [SettingsFault("", "", "the document is not an object of paths")]
+        return [
+            SettingsFault(
+                "", "", "the document is not an object that maps paths to fields"
+            )
+        ]
     faults: list[SettingsFault] = []
     for path, values in document.items():
         faults.extend(_find_path_faults(path, values))
@@ -47,7 +51,7 @@
 def _find_path_faults(path: object, values: object) -> Iterator[SettingsFault]:
     if not isinstance(path, str) or not _PATH.fullmatch(path):
         yield SettingsFault(
-            str(path), "", "is no path; paths look like /group/team/model"
+            str(path), "", "is not a valid path; paths look like /group/team/model"
         )
         return
     if values is None:
@@ -55,7 +59,7 @@
             yield SettingsFault(path, "", "the root cannot be removed")
         return
     if not isinstance(values, dict):
-        yield SettingsFault(path, "", "holds no object of fields")
+        yield SettingsFault(path, "", "is not an object of fields")
         return
     for name, value in values.items():
         reason = _find_value_fault(path, name, value)
@@ -69,7 +73,7 @@
         known = ", ".join(sorted(FIELDS))
         return f"is no known field; the fields are {known}"
     if field.team_only and path_depth(path) != TEAM_DEPTH:
-        return "may stand only at a team (/group/team)"
+        return "is allowed only at a team (/group/team)"
     if field.kind is list:
         return _find_list_fault(str(name), field, value)
     return _find_number_fault(field, value)
@@ -78,10 +82,10 @@
 def _find_list_fault(name: str, field: Field, value: object) -> str | None:
     if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
         return f"is not {TYPE_NAMES[list]}"
-    if len(value) > field.highest:
-        return f"has {len(value)} entries, more than {field.highest:g}"
+    if len(value) > field.max_value:
+        return f"has {len(value)} entries, more than {field.max_value:g}"
     if name == "key_hashes" and not all(_KEY_HASH.fullmatch(v) for v in value):
-        return "holds an entry that is no SHA-256 in lower-case hex"
+        return "has an entry that is not a SHA-256 in lower-case hex"
     return None
 
 
@@ -89,7 +93,7 @@
     wanted = (int,) if field.kind is int else (int, float)
     if isinstance(value, bool) or not isinstance(value, wanted):
         return f"is not {TYPE_NAMES[field.kind]}"
-    # NaN fails this comparison too, which is why it is not written the other way.
-    if not field.lowest <= value <= field.highest:
-        return f"is {value}, outside {field.lowest:g} to {field.highest:g}"
+    # Written so that NaN, for which every comparison is false, is rejected too.
+    if not field.min_value <= value <= field.max_value:
+        return f"is {value}, outside {field.min_value:g} to {field.max_value:g}"
     return None
--- a/packages/clementineyoke-core/tests/settings/settings.feature
+++ b/packages/clementineyoke-core/tests/settings/settings.feature
@@ -1,14 +1,13 @@
-Feature: Settings in force
+Feature: Current settings
 
   Scenario: Changes arrive in any order, twice or with gaps
-    # Symptom: a team sees yesterday's limit come back.
-    # Sequence: a slow peer offers version 3 after version 5 was in force.
-    # Cause: a node that applies whatever it is offered last.
+    # A slow peer delivers version 3 after version 5 was applied: a node that applies whatever
+    # arrives last gives a team an outdated limit again.
     Given 6 accepted changes of one team's rate
-    Then in whatever order they are offered the version never falls
-    And equal versions mean equal trees
+    Then in whatever order they arrive the version never decreases
+    And equal versions have equal trees
 
-  Scenario: A child inherits unless it says otherwise
+  Scenario: A child inherits the fields that it does not set
     Given a tree with a rate of 40 at the root and 90 at /league/finals
     Then /league/finals has rate 90 from /league/finals
     And /league/other has rate 40 from /
@@ -17,14 +16,14 @@
     Then /league/other has rate 50 from /
     And /league/finals has rate 90 from /league/finals
 
-  Scenario: Every fault is named, with its path
+  Scenario: Every fault is reported with its path
     When a document with 5 faults is checked
-    Then each fault is named with its path and reason
+    Then each fault is reported with its path and reason
 
-  Scenario: No document makes the check fail
-    Then any JSON value is either valid or refused with reasons
+  Scenario: Validation handles every document
+    Then any JSON value is either valid or rejected with reasons
 
-  Scenario: A peer that asks for changes long gone is told so
+  Scenario: A peer requests changes that are no longer kept
     Given 6 accepted changes of one team's rate
-    Then a log of all of them gives the last 2 to a peer at 4
-    And it gives none to a peer whose next change it does not keep
+    Then a log of all of them returns the last 2 for a peer at version 4
+    And it returns none for a peer whose next change is no longer kept
--- a/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
+++ b/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 
 from clementineyoke_core.claims.chain import (
-    KEEP_MS,
-    LARGEST_SEGMENT_BYTES,
-    SPAN_MS,
+    MAX_SEGMENT_BYTES,
+    RETENTION_MS,
+    SEGMENT_SPAN_MS,
     ClaimChain,
     WriteKind,
 )
@@ -22,15 +22,15 @@
 START_MS = 1_000
 
 
-def make_ask(key, holder, digest="digest"):
+def make_claim(key, holder, digest="digest"):
     return ClaimAttempt(key, holder, digest)
 
 
-def write(context, number, asks, reports=(), wall_ms=START_MS):
-    """Write until the claims are durable; return False when refused."""
+def write(context, number, claims, reports=(), wall_ms=START_MS):
+    """Write until the claims are durable; return False if a write is refused."""
     home = context.homes[number]
     while True:
-        update = home.next_write(asks, list(reports), wall_ms=wall_ms)
+        update = home.next_write(claims, list(reports), wall_ms=wall_ms)
         version = context.platform.land(update)
         if version is None:
             return False
@@ -53,21 +53,21 @@
         home.load(context.platform.read())
 
 
-@when('home {number:d} claims "{key}" for holder {holder} and loses the reply')
+@when('home {number:d} claims "{key}" for holder {holder} and the reply is lost')
 def claim_lost(context, number, key, holder):
     home = context.homes[number]
-    update = home.next_write([make_ask(key, holder)], [], wall_ms=START_MS)
+    update = home.next_write([make_claim(key, holder)], [], wall_ms=START_MS)
     assert context.platform.land(update)
 
 
 @when('home {number:d} claims "{key}" for holder {holder:w}')
 def claim_key(context, number, key, holder):
-    assert write(context, number, [make_ask(key, holder)])
+    assert write(context, number, [make_claim(key, holder)])
 
 
 @when('home {number:d} tries to claim "{key}" for holder {holder}')
 def try_claim(context, number, key, holder):
-    context.landed = write(context, number, [make_ask(key, holder)])
+    context.is_written = write(context, number, [make_claim(key, holder)])
 
 
 @when('holder {holder} reports at home {number:d} that it ran with answer "{text}"')
@@ -76,52 +76,56 @@
     context.homes[number].apply_report(ClaimReport("score-1", holder, True, answer))
 
 
-@when('home {number:d} writes at once that {holder} asks for and gives up "{key}"')
+@when('home {number:d} writes both that {holder} claims and that it gives up "{key}"')
 def batch(context, number, holder, key):
     report = ClaimReport(key, holder, False)
-    assert write(context, number, [make_ask(key, holder)], [report])
+    assert write(context, number, [make_claim(key, holder)], [report])
 
 
 @when('the claim expires and home {number:d} claims "{key}" for holder {holder}')
 def expire(context, number, key, holder):
-    later_ms = START_MS + SPAN_MS
-    assert write(context, number, [make_ask("other", "O")], wall_ms=later_ms)
-    later_ms += KEEP_MS + SPAN_MS
-    assert write(context, number, [make_ask(key, holder)], wall_ms=later_ms)
+    later_ms = START_MS + SEGMENT_SPAN_MS
+    assert write(context, number, [make_claim("other", "O")], wall_ms=later_ms)
+    later_ms += RETENTION_MS + SEGMENT_SPAN_MS
+    assert write(context, number, [make_claim(key, holder)], wall_ms=later_ms)
 
 
-@when("home {number:d} rolls on to the next segment")
-def roll(context, number):
-    later_ms = START_MS + SPAN_MS
-    assert write(context, number, [make_ask("other", "O")], wall_ms=later_ms)
+@when("home {number:d} moves on to the next segment")
+def move_on(context, number):
+    later_ms = START_MS + SEGMENT_SPAN_MS
+    assert write(context, number, [make_claim("other", "O")], wall_ms=later_ms)
     assert context.platform.read().head.open == 1
 
 
 @when("claims of {size:d} bytes fill every segment of home {number:d}")
 def fill(context, size, number):
-    assert size == LARGEST_SEGMENT_BYTES
+    assert size == MAX_SEGMENT_BYTES
     for segment in range(RING_SLOTS):
-        asks = [make_ask(f"{segment:04x}{n:020x}", f"holder-{n}") for n in range(9_000)]
-        assert write(context, number, asks)
+        claims = [
+            make_claim(f"{segment:04x}{n:020x}", f"holder-{n}") for n in range(9_000)
+        ]
+        assert write(context, number, claims)
     assert all(len(body) < 1_000_000 for _, body in context.platform.objects.values())
-    assert write(context, number, [make_ask("one-more", "O")])
+    assert write(context, number, [make_claim("one-more", "O")])
 
 
-@then('home {number:d} tells holder {holder:w} of "{key}" unavailable')
+@then(
+    'home {number:d} answers a claim of "{key}" by holder {holder:w} with unavailable'
+)
 def check_full(context, number, holder, key):
-    decision = context.homes[number].decide(make_ask(key, holder))
+    decision = context.homes[number].decide(make_claim(key, holder))
     assert decision.verdict is ClaimVerdict.UNAVAILABLE
 
 
-@then("after the keep time home {number:d} grants again")
-def check_room(context, number):
-    later_ms = START_MS + KEEP_MS + 1
-    assert write(context, number, [make_ask("late", "L")], wall_ms=later_ms)
-    decision = context.homes[number].decide(make_ask("late", "L"))
+@then("after the retention time home {number:d} grants again")
+def check_granted_again(context, number):
+    later_ms = START_MS + RETENTION_MS + 1
+    assert write(context, number, [make_claim("late", "L")], wall_ms=later_ms)
+    decision = context.homes[number].decide(make_claim("late", "L"))
     assert decision.verdict is ClaimVerdict.GRANTED
 
 
-@when("{count:d} random walks of two homes claim, pause, lose replies and roll on")
+@when("{count:d} random walks of two homes claim, pause, lose replies and move on")
 def walk(context, count):
     context.grants = Counter()
     context.steps = Counter()
@@ -150,18 +154,18 @@
                 check_grants(home, update, granted, context)
         elif not home.is_loaded:
             home.load(platform.read())
-        elif home.decide(make_ask(key, holder)) is None:
+        elif home.decide(make_claim(key, holder)) is None:
             pending[index] = home.next_write(
-                [make_ask(key, holder)], [], wall_ms=now_ms
+                [make_claim(key, holder)], [], wall_ms=now_ms
             )
 
 
 def check_grants(home, update, granted, context):
-    """Note which holder each key's record grants; it must never change."""
+    """Check that the holder granted each key never changes."""
     if update.kind is not WriteKind.CLAIMS:
         return
     for key, record in update.result.records.items():
-        decision = home.decide(make_ask(key, record.holder))
+        decision = home.decide(make_claim(key, record.holder))
         assert decision.verdict is ClaimVerdict.GRANTED
         assert granted.setdefault(key, record.holder) == record.holder, (key, granted)
         context.grants[key] += 1
@@ -172,7 +176,7 @@
     assert context.grants
 
 
-@then("every kind of write, refusals and lost replies came about")
+@then("every kind of write, refusals and lost replies occurred")
 def check_kinds(context):
     expected = {kind.value for kind in WriteKind} | {"refused", "lost"}
     assert set(context.steps) == expected, context.steps
@@ -180,40 +184,40 @@
 
 @then("the write of home {number:d} is refused")
 def check_refused(context, number):
-    assert context.landed is False
+    assert context.is_written is False
 
 
-@then("after reading again home {number:d} tells holder {holder} {verdict:w}")
+@then("after reading again home {number:d} answers holder {holder} with {verdict:w}")
 def check_after_read(context, number, holder, verdict):
     read_again(context, number)
     check_verdict(context, number, holder, verdict)
 
 
-@then('home {number:d} tells holder {holder:w} answered with "{text}"')
+@then('home {number:d} gives holder {holder:w} the stored answer "{text}"')
 def check_answer(context, number, holder, text):
-    decision = context.homes[number].decide(make_ask("score-1", holder))
+    decision = context.homes[number].decide(make_claim("score-1", holder))
     assert decision.verdict is ClaimVerdict.ANSWERED
     assert decision.answer.body == text.encode()
 
 
-@then("home {number:d} tells holder {holder:w} with another request mismatch")
+@then("home {number:d} answers holder {holder:w} of another request with mismatch")
 def check_mismatch(context, number, holder):
-    decision = context.homes[number].decide(make_ask("score-1", holder, "other"))
+    decision = context.homes[number].decide(make_claim("score-1", holder, "other"))
     assert decision.verdict is ClaimVerdict.MISMATCH
 
 
-@then("after reading again home {number:d} knows no claim of holder {holder}")
+@then("after reading again home {number:d} has no claim of holder {holder}")
 def check_open(context, number, holder):
     read_again(context, number)
-    assert context.homes[number].decide(make_ask("score-1", holder)) is None
+    assert context.homes[number].decide(make_claim("score-1", holder)) is None
 
 
-@then("home {number:d} tells holder {holder:w} {verdict:w}")
+@then("home {number:d} answers holder {holder:w} with {verdict:w}")
 def check_verdict(context, number, holder, verdict):
-    decision = context.homes[number].decide(make_ask("score-1", holder))
+    decision = context.homes[number].decide(make_claim("score-1", holder))
     assert decision.verdict is ClaimVerdict[verdict.upper()], decision
 
 
 @then('home {number:d} has no claim on "{key}"')
 def check_free(context, number, key):
-    assert context.homes[number].decide(make_ask(key, "anyone")) is None
+    assert context.homes[number].decide(make_claim(key, "anyone")) is None
--- a/packages/clementineyoke-core/tests/steps/settings_steps.py
+++ b/packages/clementineyoke-core/tests/steps/settings_steps.py
@@ -38,7 +38,7 @@
         assert decode_change(encode_change(change)) == change
 
 
-@then("in whatever order they are offered the version never falls")
+@then("in whatever order they arrive the version never decreases")
 def check_order(context):
     changes = context.changes
     trees = context.trees = {}
@@ -59,7 +59,7 @@
     offer()
 
 
-@then("equal versions mean equal trees")
+@then("equal versions have equal trees")
 def check_trees(context):
     assert context.trees == {n: n for n in context.trees}
     assert len(context.trees) > 1, "no order got beyond the first version"
@@ -77,9 +77,9 @@
     context.tree.apply({"/": {"rate_per_s": rate}})
 
 
-@then("{path} has {short} {value:d} from {source}")
-def check_value(context, path, short, value, source):
-    name = {"rate": "rate_per_s"}.get(short, short)
+@then("{path} has {field} {value:d} from {source}")
+def check_value(context, path, field, value, source):
+    name = {"rate": "rate_per_s"}.get(field, field)
     assert context.tree.resolve(path)[name] == (value, source)
 
 
@@ -95,10 +95,10 @@
     )
 
 
-@then("each fault is named with its path and reason")
+@then("each fault is reported with its path and reason")
 def check_faults(context):
-    named = {(fault.path, fault.field) for fault in context.faults}
-    assert named == {
+    reported = {(fault.path, fault.field) for fault in context.faults}
+    assert reported == {
         ("/", "rate_per_s"),
         ("/", "no_such_field"),
         ("league", ""),
@@ -108,7 +108,7 @@
     assert all(fault.reason for fault in context.faults)
 
 
-@then("any JSON value is either valid or refused with reasons")
+@then("any JSON value is either valid or rejected with reasons")
 def fuzz_validation(context):
     leaves = st.none() | st.booleans() | st.integers() | st.floats() | st.text()
     names = st.sampled_from(["/", "/a", "/a/b", "rate_per_s", "priority", "models"])
@@ -128,7 +128,9 @@
     check()
 
 
-@then("a log of all of them gives the last {count:d} to a peer at {version:d}")
+@then(
+    "a log of all of them returns the last {count:d} for a peer at version {version:d}"
+)
 def check_peer(context, count, version):
     context.log = SettingsLog()
     for change in context.changes:
@@ -136,8 +138,8 @@
     assert context.log.changes_after(version) == context.changes[-count:]
 
 
-@then("it gives none to a peer whose next change it does not keep")
+@then("it returns none for a peer whose next change is no longer kept")
 def check_gap(context):
-    for version in range(7, settings_log.RECENT_CHANGES + 10):
+    for version in range(7, settings_log.MAX_RECENT_CHANGES + 10):
         context.log.apply(make_change(version))
     assert context.log.changes_after(0) is None
