--- a/packages/clementineyoke-core/src/clementineyoke_core/membership.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership.py
@@ -20,7 +20,7 @@
 seconds; with few updates per message they wait for each other. Twelve take some 400
 bytes."""
 RETRANSMIT_FACTOR = 3
-"""Multiple of the rounds that an update needs to reach all nodes, for its sends."""
+"""Sends per update, as a multiple of the rounds needed to reach all nodes."""
 
 
 class Membership:
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_homes.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_homes.py
@@ -12,7 +12,7 @@
     from collections.abc import Mapping, Sequence
 
 MAX_SPREAD_FACTOR = 1.25
-"""Limit per node, as a multiple of a pool's mean number of runners, rounded up."""
+"""Limit per node, as a multiple of a pool's mean runners per node, rounded up."""
 
 
 class RunnerHomes:
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
@@ -1,12 +1,12 @@
-"""Validation of settings documents; reports all faults instead of only the first."""
+"""Validation of settings documents; reports all violations, not only the first."""
 
 from __future__ import annotations
 
 import re
 from typing import TYPE_CHECKING, Any
 
-from clementineyoke_core.settings.fault import SettingsFault
 from clementineyoke_core.settings.fields import FIELDS, TYPE_NAMES, Field
+from clementineyoke_core.settings.violation import SettingsViolation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -34,40 +34,40 @@
     return path.rsplit("/", 1)[0] or ROOT
 
 
-def find_violations(document: object) -> list[SettingsFault]:
-    """Return all faults of a document that maps paths to values; none if valid."""
+def find_violations(document: object) -> list[SettingsViolation]:
+    """Return all violations of a document that maps paths to values; none if valid."""
     if not isinstance(document, dict):
         return [
-            SettingsFault(
+            SettingsViolation(
                 "", "", "the document is not an object that maps paths to fields"
             )
         ]
-    faults: list[SettingsFault] = []
+    violations: list[SettingsViolation] = []
     for path, values in document.items():
-        faults.extend(_find_path_faults(path, values))
-    return faults
+        violations.extend(_find_path_violations(path, values))
+    return violations
 
 
-def _find_path_faults(path: object, values: object) -> Iterator[SettingsFault]:
+def _find_path_violations(path: object, values: object) -> Iterator[SettingsViolation]:
     if not isinstance(path, str) or not _PATH.fullmatch(path):
-        yield SettingsFault(
+        yield SettingsViolation(
             str(path), "", "is not a valid path; paths look like /group/team/model"
         )
         return
     if values is None:
         if path == ROOT:
-            yield SettingsFault(path, "", "the root cannot be removed")
+            yield SettingsViolation(path, "", "the root cannot be removed")
         return
     if not isinstance(values, dict):
-        yield SettingsFault(path, "", "is not an object of fields")
+        yield SettingsViolation(path, "", "is not an object of fields")
         return
     for name, value in values.items():
-        reason = _find_value_fault(path, name, value)
+        reason = _find_value_violation(path, name, value)
         if reason is not None:
-            yield SettingsFault(path, str(name), reason)
+            yield SettingsViolation(path, str(name), reason)
 
 
-def _find_value_fault(path: str, name: object, value: object) -> str | None:
+def _find_value_violation(path: str, name: object, value: object) -> str | None:
     field = FIELDS.get(name) if isinstance(name, str) else None
     if field is None:
         known = ", ".join(sorted(FIELDS))
@@ -75,11 +75,11 @@
     if field.team_only and path_depth(path) != TEAM_DEPTH:
         return "is allowed only at a team (/group/team)"
     if field.kind is list:
-        return _find_list_fault(str(name), field, value)
-    return _find_number_fault(field, value)
+        return _find_list_violation(str(name), field, value)
+    return _find_number_violation(field, value)
 
 
-def _find_list_fault(name: str, field: Field, value: object) -> str | None:
+def _find_list_violation(name: str, field: Field, value: object) -> str | None:
     if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
         return f"is not {TYPE_NAMES[list]}"
     if len(value) > field.max_value:
@@ -89,7 +89,7 @@
     return None
 
 
-def _find_number_fault(field: Field, value: object) -> str | None:
+def _find_number_violation(field: Field, value: object) -> str | None:
     wanted = (int,) if field.kind is int else (int, float)
     if isinstance(value, bool) or not isinstance(value, wanted):
         return f"is not {TYPE_NAMES[field.kind]}"
--- a/packages/clementineyoke-core/src/clementineyoke_core/steering.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/steering.py
@@ -63,7 +63,7 @@
 
 
 def spread_over_zones(ranked: list[Node]) -> list[Node]:
-    """Return the nodes interleaved by availability zone."""
+    """Return the nodes in rounds of one node from each availability zone."""
     by_zone: dict[str, list[Node]] = {}
     for node in ranked:
         by_zone.setdefault(node.availability_zone, []).append(node)
--- a/packages/clementineyoke-core/tests/settings/settings.feature
+++ b/packages/clementineyoke-core/tests/settings/settings.feature
@@ -16,9 +16,9 @@
     Then /league/other has rate 50 from /
     And /league/finals has rate 90 from /league/finals
 
-  Scenario: Every fault is reported with its path
-    When a document with 5 faults is checked
-    Then each fault is reported with its path and reason
+  Scenario: Every violation is reported with its path
+    When a document with 5 violations is checked
+    Then each violation is reported with its path and reason
 
   Scenario: Validation handles every document
     Then any JSON value is either valid or rejected with reasons
--- a/packages/clementineyoke-core/tests/steps/settings_steps.py
+++ b/packages/clementineyoke-core/tests/steps/settings_steps.py
@@ -83,9 +83,9 @@
     assert context.tree.resolve(path)[name] == (value, source)
 
 
-@when("a document with 5 faults is checked")
+@when("a document with 5 violations is checked")
 def check_document(context):
-    context.faults = find_violations(
+    context.violations = find_violations(
         {
             "/": {"rate_per_s": -1, "no_such_field": 1},
             "league": {},
@@ -95,9 +95,9 @@
     )
 
 
-@then("each fault is reported with its path and reason")
-def check_faults(context):
-    reported = {(fault.path, fault.field) for fault in context.faults}
+@then("each violation is reported with its path and reason")
+def check_violations(context):
+    reported = {(violation.path, violation.field) for violation in context.violations}
     assert reported == {
         ("/", "rate_per_s"),
         ("/", "no_such_field"),
@@ -105,7 +105,7 @@
         ("/league", "key_hashes"),
         ("/league/finals", "priority"),
     }
-    assert all(fault.reason for fault in context.faults)
+    assert all(violation.reason for violation in context.violations)
 
 
 @then("any JSON value is either valid or rejected with reasons")
