--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -57,7 +57,7 @@
     def unavailable_before(
         self, pool: str, key: int, runner_id: str
     ) -> Iterator[tuple[str, str]]:
-        """Yield the unavailable runners before one in a key's order, with the reasons."""
+        """Yield the unavailable runners before one in a key's order, with reasons."""
         ring = self._rings.get(pool)
         if ring is None:
             return
--- a/packages/clementineyoke-core/tests/steps/reachability_steps.py
+++ b/packages/clementineyoke-core/tests/steps/reachability_steps.py
@@ -69,7 +69,7 @@
 @then("at most {count:d} calls fail while it is unreachable")
 def check_failed(context, count):
     assert context.paused_at_ms
-    assert len(context.failed_at_ms) <= count, context.failed
+    assert len(context.failed_at_ms) <= count, context.failed_at_ms
 
 
 @then("it gets calls again before {ms:d} ms")
