--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/fields.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/fields.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-TYPE_NAMES = {int: "a whole number", float: "a number", list: "a list of strings"}
+TYPE_NAMES = {int: "a whole number", float: "a number", list: "a list of texts"}
 
 
 class Field(NamedTuple):
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/snapshot.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/snapshot.py
@@ -43,7 +43,7 @@
     decoded = [_decoder.decode(part) for part in parts]
     versions = {part.version for part in decoded}
     if len(versions) != 1:
-        message = f"snapshot has parts of {len(versions)} versions instead of one"
+        message = f"parts of {len(versions)} versions"
         raise msgspec.DecodeError(message)
     packed: dict[str, bytes] = {}
     for part in decoded:
--- a/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/settings/validation.py
@@ -37,11 +37,7 @@
 def find_violations(document: object) -> list[SettingsViolation]:
     """Return all violations of a document that maps paths to values; none if valid."""
     if not isinstance(document, dict):
-        return [
-            SettingsViolation(
-                "", "", "the document is not an object that maps paths to fields"
-            )
-        ]
+        return [SettingsViolation("", "", "the document is not an object of paths")]
     violations: list[SettingsViolation] = []
     for path, values in document.items():
         violations.extend(_find_path_violations(path, values))
@@ -51,7 +47,7 @@
 def _find_path_violations(path: object, values: object) -> Iterator[SettingsViolation]:
     if not isinstance(path, str) or not _PATH.fullmatch(path):
         yield SettingsViolation(
-            str(path), "", "is not a valid path; paths look like /group/team/model"
+            str(path), "", "is no path; paths look like /group/team/model"
         )
         return
     if values is None:
@@ -59,7 +55,7 @@
             yield SettingsViolation(path, "", "the root cannot be removed")
         return
     if not isinstance(values, dict):
-        yield SettingsViolation(path, "", "is not an object of fields")
+        yield SettingsViolation(path, "", "holds no object of fields")
         return
     for name, value in values.items():
         reason = _find_value_violation(path, name, value)
@@ -73,7 +69,7 @@
         known = ", ".join(sorted(FIELDS))
         return f"is no known field; the fields are {known}"
     if field.team_only and path_depth(path) != TEAM_DEPTH:
-        return "is allowed only at a team (/group/team)"
+        return "may stand only at a team (/group/team)"
     if field.kind is list:
         return _find_list_violation(str(name), field, value)
     return _find_number_violation(field, value)
@@ -85,7 +81,7 @@
     if len(value) > field.max_value:
         return f"has {len(value)} entries, more than {field.max_value:g}"
     if name == "key_hashes" and not all(_KEY_HASH.fullmatch(v) for v in value):
-        return "has an entry that is not a SHA-256 in lower-case hex"
+        return "holds an entry that is no SHA-256 in lower-case hex"
     return None
 
 
