--- a/packages/clementineyoke-wire/src/clementineyoke_wire/__init__.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/__init__.py
@@ -1,3 +1,3 @@
-"""What crosses between processes: peer messages, HTTP bodies, events."""
+"""Formats shared between processes: peer messages, HTTP bodies and log events."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/bodies.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the HTTP calls that are answered in JSON."""
+"""JSON bodies of HTTP requests and responses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ErrorBody(TypedDict):
-    """What a caller gets instead of a runner's answer."""
+    """Error that a caller receives in place of a runner's response."""
 
     outcome: str
     step: str
@@ -17,7 +17,7 @@
 
 
 class AddressBody(TypedDict):
-    """One node that a caller may use."""
+    """Address of a node that accepts requests from callers."""
 
     node_id: str
     address: str
@@ -26,14 +26,14 @@
 
 
 class AddressesBody(TypedDict):
-    """The ordered list of nodes and how long to keep it."""
+    """Node addresses in order of preference, and how long callers may cache them."""
 
     addresses: list[AddressBody]
     keep_ms: int
 
 
 class HostBody(TypedDict):
-    """A host of the platform's host list, as its HTTP interface gives it."""
+    """Entry of the platform's host list, as returned by its HTTP API."""
 
     host: str
     role: str
@@ -50,11 +50,11 @@
 
 
 class SettingsChangeBody(TypedDict):
-    """An operator's wish to change settings."""
+    """Change of settings requested by an operator."""
 
     author: str
     note: str
     based_on: int
-    """The version that the operator looked at."""
+    """Settings version that the edits were based on."""
     dry_run: bool
     edits: dict[str, dict[str, Any] | None]
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/bounded_stream.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/bounded_stream.py
@@ -1,4 +1,4 @@
-"""A stream for log lines that never blocks and never floods."""
+"""Rate-limited, non-blocking output stream for log lines."""
 
 from __future__ import annotations
 
@@ -6,55 +6,56 @@
 import select
 import time
 
-LINES_PER_S = 400.0
-"""A node at its largest share of the design load writes about 50 lines a second: three
-for each of 13 calls, and a few of its own."""
-MOST_SAVED_LINES = 2_000.0
-LONGEST_LINE_BYTES = 4_096
-"""A pipe takes this much at once or nothing, so that no line is torn."""
+MAX_LINES_PER_S = 400.0
+"""A node at its maximum share of the design load writes about 50 lines per second:
+three for each of 13 calls, and a few of its own."""
+MAX_BURST_LINES = 2_000.0
+MAX_LINE_BYTES = 4_096
+"""A pipe accepts a write of up to this size whole or not at all (``PIPE_BUF``), so a
+line is never split."""
 
 
 class BoundedStream:
-    """Write lines to a file descriptor while it takes them, at a bounded rate.
+    """Write lines to a file descriptor without blocking, at a limited rate.
 
-    A reader of the log that stops reading fills the pipe, and an ordinary write then
-    stops the whole process, seen as a node that is frozen. A line that does not fit now
-    is dropped and counted; the count is written before the next line that fits.
+    If the log collector stops reading, the pipe fills up and a blocking write would
+    freeze the whole node. Lines that cannot be written immediately are dropped and
+    counted; the count is written before the next line that goes through.
     """
 
     def __init__(
         self,
         *,
         descriptor: int,
-        lines_per_s: float = LINES_PER_S,
-        most_saved: float = MOST_SAVED_LINES,
+        max_lines_per_s: float = MAX_LINES_PER_S,
+        max_burst_lines: float = MAX_BURST_LINES,
     ) -> None:
         self._descriptor = descriptor
-        self._lines_per_s = lines_per_s
-        self._most_saved = most_saved
-        self._saved = most_saved
-        self._filled_s = time.monotonic()
+        self._max_lines_per_s = max_lines_per_s
+        self._max_burst_lines = max_burst_lines
+        self._tokens = max_burst_lines
+        self._refilled_s = time.monotonic()
         self.dropped = 0
-        """Lines dropped since the last one that was written."""
+        """Lines dropped since the last successful write."""
 
     def write_line(self, line: str) -> None:
-        """Write one line, or count it as dropped."""
-        if not self._take() or not self._is_writable():
+        """Write a line, or drop it and count it."""
+        if not self._try_spend() or not self._is_writable():
             self.dropped += 1
             return
         if self.dropped:
-            line = f"{_dropped_line(self.dropped)}\n{line}"
+            line = f"{_render_dropped_count(self.dropped)}\n{line}"
             self.dropped = 0
-        os.write(self._descriptor, f"{line}\n".encode()[:LONGEST_LINE_BYTES])
+        os.write(self._descriptor, f"{line}\n".encode()[:MAX_LINE_BYTES])
 
-    def _take(self) -> bool:
+    def _try_spend(self) -> bool:
         now_s = time.monotonic()
-        earned = (now_s - self._filled_s) * self._lines_per_s
-        self._saved = min(self._most_saved, self._saved + earned)
-        self._filled_s = now_s
-        if self._saved < 1.0:
+        refill = (now_s - self._refilled_s) * self._max_lines_per_s
+        self._tokens = min(self._max_burst_lines, self._tokens + refill)
+        self._refilled_s = now_s
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
     def _is_writable(self) -> bool:
@@ -62,6 +63,6 @@
         return bool(writable)
 
 
-def _dropped_line(count: int) -> str:
-    # Written here and not as an event: the event would want a line of its own.
+def _render_dropped_count(count: int) -> str:
+    # Formatted by hand: logging it as an event would need another line from the limit.
     return f'{{"message":"log_dropped","event":105,"lines":{count}}}'
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/codec.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/codec.py
@@ -1,4 +1,4 @@
-"""Cap'n Proto encoding of the messages between nodes."""
+"""Cap'n Proto encoding of messages between nodes."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 _SCHEMA = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
 
-class Received(NamedTuple):
-    """A decoded message and the incarnation of the node that sent it."""
+class DecodedMessage(NamedTuple):
+    """Decoded message and the incarnation of the node that sent it."""
 
     incarnation: int
     message: Message
 
 
-class _Shape(NamedTuple):
-    """How a message class maps to its Cap'n Proto struct."""
+class _StructMapping(NamedTuple):
+    """Mapping of a message class to its Cap'n Proto struct."""
 
     cls: Any
     fields: tuple[tuple[str, str, Any], ...]
-    """Python name, Cap'n Proto name, class of list entries or None."""
+    """Python name, Cap'n Proto name, class of the entries of a list of messages or
+    None."""
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     head, *tail = name.split("_")
     return head + "".join(word.capitalize() for word in tail)
 
@@ -41,12 +42,12 @@
     return None
 
 
-def _shape_of(cls: Any) -> _Shape:
+def _build_mapping(cls: Any) -> _StructMapping:
     hints = get_type_hints(cls)
     fields = tuple(
-        (name, _camel(name), _entry_class(hints[name])) for name in cls._fields
+        (name, _to_camel_case(name), _entry_class(hints[name])) for name in cls._fields
     )
-    return _Shape(cls, fields)
+    return _StructMapping(cls, fields)
 
 
 def _union_name(cls: Any) -> str:
@@ -54,19 +55,19 @@
     return name[0].lower() + name[1:]
 
 
-_SHAPES = {cls: _shape_of(cls) for cls in get_args(Message)}
-_BY_UNION_NAME = {_union_name(cls): shape for cls, shape in _SHAPES.items()}
-_UNION_NAMES = {cls: _union_name(cls) for cls in _SHAPES}
+_MAPPINGS = {cls: _build_mapping(cls) for cls in get_args(Message)}
+_BY_UNION_NAME = {_union_name(cls): mapping for cls, mapping in _MAPPINGS.items()}
+_UNION_NAMES = {cls: _union_name(cls) for cls in _MAPPINGS}
 
 
 def kind_of(message: Message) -> str:
-    """Return a message's kind, as metrics name it."""
+    """Return the kind of a message, as named in metrics."""
     return _UNION_NAMES[type(message)]
 
 
 def encode(message: Message, *, incarnation: int) -> bytes:
-    """Return the packed bytes of a message."""
-    values = _to_values(message, _SHAPES[type(message)])
+    """Encode a message in the packed Cap'n Proto format."""
+    values = _to_values(message, _MAPPINGS[type(message)])
     union_name = _UNION_NAMES[type(message)]
     envelope = _SCHEMA.Envelope.new_message(
         incarnation=incarnation, **{union_name: values}
@@ -75,46 +76,46 @@
     return packed
 
 
-def decode(packed: bytes) -> Received:
-    """Read a message; raises ``WireError`` on anything that is none."""
+def decode(packed: bytes) -> DecodedMessage:
+    """Decode a message; raises ``WireError`` if the bytes are not a valid one."""
     try:
         check_packed(packed)
         envelope = _SCHEMA.Envelope.from_bytes_packed(packed)
-        shape = _BY_UNION_NAME[str(envelope.which())]
-        struct = getattr(envelope, _UNION_NAMES[shape.cls])
-        return Received(envelope.incarnation, _from_struct(struct, shape))
+        mapping = _BY_UNION_NAME[str(envelope.which())]
+        struct = getattr(envelope, _UNION_NAMES[mapping.cls])
+        return DecodedMessage(envelope.incarnation, _from_struct(struct, mapping))
     except (capnp.KjException, KeyError, ValueError, UnicodeDecodeError) as error:
         raise WireError(step="decode", peer="", reason=str(error)) from error
 
 
-def _to_values(message: Any, shape: _Shape) -> dict[str, Any]:
+def _to_values(message: Any, mapping: _StructMapping) -> dict[str, Any]:
     values: dict[str, Any] = {}
-    for name, capnp_name, entry_class in shape.fields:
+    for name, capnp_name, entry_class in mapping.fields:
         value = getattr(message, name)
         if entry_class is not None:
-            entry_shape = _shape_of_entry(entry_class)
-            value = [_to_values(entry, entry_shape) for entry in value]
+            entry_mapping = _entry_mapping(entry_class)
+            value = [_to_values(entry, entry_mapping) for entry in value]
         values[capnp_name] = value
     return values
 
 
-def _from_struct(struct: Any, shape: _Shape) -> Any:
+def _from_struct(struct: Any, mapping: _StructMapping) -> Any:
     values = []
-    for _, capnp_name, entry_class in shape.fields:
+    for _, capnp_name, entry_class in mapping.fields:
         value = getattr(struct, capnp_name)
         if entry_class is not None:
-            entry_shape = _shape_of_entry(entry_class)
-            value = [_from_struct(entry, entry_shape) for entry in value]
+            entry_mapping = _entry_mapping(entry_class)
+            value = [_from_struct(entry, entry_mapping) for entry in value]
         elif isinstance(value, capnp.lib.capnp._DynamicListReader):
             value = list(value)
         values.append(value)
-    return shape.cls._make(values)
+    return mapping.cls._make(values)
 
 
-_ENTRY_SHAPES: dict[Any, _Shape] = {}
+_ENTRY_MAPPINGS: dict[Any, _StructMapping] = {}
 
 
-def _shape_of_entry(cls: Any) -> _Shape:
-    if cls not in _ENTRY_SHAPES:
-        _ENTRY_SHAPES[cls] = _shape_of(cls)
-    return _ENTRY_SHAPES[cls]
+def _entry_mapping(cls: Any) -> _StructMapping:
+    if cls not in _ENTRY_MAPPINGS:
+        _ENTRY_MAPPINGS[cls] = _build_mapping(cls)
+    return _ENTRY_MAPPINGS[cls]
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/log_sink.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/log_sink.py
@@ -1,4 +1,4 @@
-"""Structured logs: one compact JSON object a line."""
+"""Structured logging: one compact JSON object per line."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 def log_to_pipe(level: str, *, node: str) -> None:
-    """Send all logs to standard output, each line with the node's name.
+    """Send all logs of this process to standard output, with the name of the node.
 
-    Lines are dropped and counted rather than waited for.
+    Lines that cannot be written without blocking are dropped and counted.
     """
     bounded = BoundedStream(descriptor=sys.stdout.fileno())
-    _log_lines(level, bounded.write_line, process=node)
+    _configure(level, bounded.write_line, process=node)
 
 
 def log_as_json(level: str, *, stream: TextIO = sys.stderr) -> None:
     """Send all logs of this process to a stream.
 
-    Tracebacks carry no values of variables: loguru's own rendering would print keys
-    and prompts into the log.
+    Tracebacks contain no values of variables: loguru's diagnostic format would write
+    keys and prompts into the log.
     """
-    _log_lines(level, lambda line: print(line, file=stream))
+    _configure(level, lambda line: print(line, file=stream))
 
 
-def _log_lines(level: str, write_line: Callable[[str], None], **extra: str) -> None:
+def _configure(level: str, write_line: Callable[[str], None], **extra: str) -> None:
     logger.remove()
 
     def write(message: Message) -> None:
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/messages.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/messages.py
@@ -1,6 +1,7 @@
-"""Typed messages between nodes; ``peer.capnp`` gives their form on the wire.
+"""Messages between nodes; ``peer.capnp`` defines their encoding.
 
-Runners and pools go by the 64-bit hash of their names: eight bytes instead of a text.
+Fields that refer to a runner or pool by an integer hold the 64-bit hash of its name,
+which takes eight bytes instead of a text.
 """
 
 from __future__ import annotations
@@ -9,57 +10,61 @@
 
 
 class SlotAsk(NamedTuple):
-    """Ask a runner's home for a slot."""
+    """Request for a slot on a runner, sent to the runner's home node."""
 
     ask_id: int
     runner: int
     seen_mean: float
-    """Mean load named by homes that refused this request; 0 without evidence."""
+    """Mean load reported by the home nodes that refused this request.
+
+    0 if no loads are reported; a value above 0 marks the last attempt of a search.
+    """
     wait_ms: int = 0
-    """How long the asker will wait for a slot; 0 for an answer at once."""
+    """How long the request may be queued; 0 for an immediate reply."""
     team: int = 0
-    """Hash of the team's path; only for asks that wait."""
+    """Hash of the team's path; only set if the request may be queued."""
     priority: int = 0
     load_factor: float = 0.0
-    """Multiple of the mean load up to which the call may go; 0 for the home's own."""
+    """Maximum load as a multiple of the mean; 0 for the home node's default."""
 
 
 class SlotReply(NamedTuple):
-    """The home's grant or refusal, with the slots in use on the runner."""
+    """Reply of a home node that grants or refuses a slot."""
 
     ask_id: int
     granted: bool
     in_use: int
+    """Slots in use on the runner."""
     is_held: bool = False
-    """Whether the runner is held back for another reason than its load."""
+    """Whether the slot was refused for a reason other than the runner's load."""
 
 
 class SlotRelease(NamedTuple):
-    """Give a slot back."""
+    """Return of a slot that is no longer in use."""
 
     ask_id: int
     runner: int
     is_answered: bool = False
-    """Whether the runner answered the call."""
+    """Whether the runner responded to the call."""
 
 
 class RunnerFault(NamedTuple):
-    """Tell a runner's home that a call there failed or is overdue."""
+    """Report to a runner's home node that a call failed or is overdue."""
 
     runner: int
     is_unreachable: bool = False
-    """Whether it took no connection."""
+    """Whether no connection to the runner could be opened."""
 
 
 class SlotRenewal(NamedTuple):
-    """Keep the sender's grants on a runner alive, or bring them to a new home."""
+    """Renewal of the sender's slots on a runner, or transfer to its new home node."""
 
     runner: int
     ask_ids: list[int]
 
 
 class PoolLoad(NamedTuple):
-    """A node's share of a pool's totals, for averaging."""
+    """A node's share of a pool's totals, from which peers estimate the mean load."""
 
     pool: int
     load: float
@@ -67,7 +72,7 @@
 
 
 class RumourNote(NamedTuple):
-    """What the sender heard of a third node."""
+    """Membership update: state of a third node as known to the sender."""
 
     node_id: str
     incarnation: int
@@ -75,59 +80,63 @@
 
 
 class CrashNote(NamedTuple):
-    """What the sender knows of a request under which runners have ended."""
+    """The sender's record of a request whose runners crashed."""
 
     digest: bytes
-    """The request's mark."""
+    """Digest that identifies the request."""
     clears: int
+    """How often the request was cleared because a runner answered it."""
     crashes: int
+    """Runners that crashed while running the request since it was last cleared."""
     runners: list[str]
-    """The last of the lifetimes that ended."""
+    """Lifetimes of the runners that crashed most recently."""
     age_ms: int
-    """How long ago the last one ended."""
+    """Time since the last crash, or since the request was cleared."""
 
 
 class CrashReport(NamedTuple):
-    """Tell a request's homes that a runner ended with a copy of it on board."""
+    """Report to a request's home nodes that a runner crashed while running it."""
 
     digest: bytes
     runner: str
-    """The lifetime that ended."""
+    """Lifetime of the runner that crashed."""
     sent_age_ms: int
-    """How long ago the copy was sent to the runner."""
+    """Time since the request was sent to the runner."""
     ended_age_ms: int
+    """Time since the runner crashed."""
 
 
 class CrashNews(NamedTuple):
-    """Tell what has changed in the records of requests and ended runners."""
+    """Update of records of requests whose runners crashed."""
 
     crashes: list[CrashNote]
 
 
 class Gossip(NamedTuple):
-    """A probe and its reply; both carry load shares, rumours and a version."""
+    """Probe or its reply, with load shares, membership updates and versions."""
 
     sequence: int
     is_reply: bool
     settings_version: int
     loads: list[PoolLoad]
     rumours: list[RumourNote]
+    """Membership updates."""
     runners_version: int = 0
-    """As of which revision of the store the sender knows the runners."""
+    """Store revision of the sender's list of runners."""
     state_age_ms: int = 0
-    """How long ago the sender's desired state was known to be the newest."""
+    """Time since the sender's desired state was last confirmed as current."""
     runners_age_ms: int = 0
-    """How long ago the sender's list of runners was known to be the newest."""
+    """Time since the sender's list of runners was last confirmed as current."""
     crashes: list[CrashNote] = []
-    """Some of the records, in turn: what news of them was lost comes so."""
+    """Some of the sender's crash records, in rotation, to replace lost updates."""
     evacuations_version: int = 0
-    """As of which revision of the store the evacuated zones became what they are."""
+    """Store revision of the last change of the evacuated zones."""
     evacuations_age_ms: int = 0
-    """How long ago these were known to be the newest."""
+    """Time since the evacuated zones were last confirmed as current."""
 
 
 class RunnerNote(NamedTuple):
-    """A runner's entry as the store holds it."""
+    """Entry of a runner in the store."""
 
     runner_id: str
     address: str
@@ -141,27 +150,28 @@
     revision: int
     born_ms: int
     cold_ms: int = 0
-    """How much longer the runner bears only few calls."""
+    """Remaining time in which the runner is cold and may get only few calls."""
 
 
 class RemovalNote(NamedTuple):
-    """The end of a runner's entry."""
+    """Removal of a runner's entry from the store."""
 
     runner_id: str
     revision: int
     wait_ms: int
-    """How much longer the runner may return; above 0 if the entry lapsed."""
+    """Remaining time in which the runner may return; above 0 if the entry expired."""
     born_ms: int
     is_refused: bool
+    """Whether the entry still exists but is not valid."""
 
 
 class StoreNews(NamedTuple):
-    """What the store told the sender, for nodes that do not watch it themselves."""
+    """Changes in the store, forwarded to nodes that do not watch it themselves."""
 
     state_version: int
     state_age_ms: int
     runners_base: int
-    """The changes follow on any list of runners from this revision on."""
+    """The changes apply to a list of runners of this revision or later."""
     runners_version: int
     runners_age_ms: int
     runners: list[RunnerNote]
@@ -171,7 +181,7 @@
 
 
 class NodeHello(NamedTuple):
-    """A node makes itself known where no host list does."""
+    """Introduction of a node where no host list is available."""
 
     is_reply: bool
     node_id: str
@@ -181,11 +191,11 @@
     availability_zone: str
     region: str
     calls_per_s: int = 0
-    """What the node bears; 0 if it does not say."""
+    """Capacity of the node; 0 if unknown."""
 
 
 class ClaimRequest(NamedTuple):
-    """Ask a shard's home to claim a key for one holder."""
+    """Request to claim a key for one holder, sent to the home node of a shard."""
 
     ask_id: int
     shard: int
@@ -195,7 +205,7 @@
 
 
 class ClaimReply(NamedTuple):
-    """The home's verdict, with the kept answer of a finished call."""
+    """Result of a claim, with the stored response if the call has completed."""
 
     ask_id: int
     verdict: int
@@ -206,7 +216,7 @@
 
 
 class ClaimResult(NamedTuple):
-    """A holder's report of what became of its claim."""
+    """Report of a holder on the outcome of the call that it claimed."""
 
     shard: int
     key: str
@@ -219,7 +229,7 @@
 
 
 class ShareAsk(NamedTuple):
-    """Ask the home of a team's budget for request tokens."""
+    """Request for tokens of a team's budget, sent to the budget's home node."""
 
     ask_id: int
     team: str
@@ -227,7 +237,7 @@
 
 
 class ShareReply(NamedTuple):
-    """The tokens granted, and how long until there is one if there was none."""
+    """Granted tokens and, if there are none, the time until one is available."""
 
     ask_id: int
     tokens: float
@@ -251,4 +261,4 @@
     | CrashReport
     | CrashNews
 )
-"""Everything that a node may send to another."""
+"""Any message that a node may send to another."""
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/peer.capnp
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/peer.capnp
@@ -1,6 +1,6 @@
 @0xd2b1f0c4a9e37d51;
-# Messages between nodes. Fields are only ever added, never renumbered: a node of the
-# next version must read what this one sends.
+# Messages between nodes. Fields may be added but not renumbered or removed, so that nodes
+# of different versions can read each other's messages.
 
 struct SlotAsk { askId @0 :UInt32; runner @1 :UInt64; seenMean @2 :Float32;
   waitMs @3 :UInt16; team @4 :UInt64; priority @5 :UInt8; loadFactor @6 :Float32; }
@@ -47,7 +47,7 @@
 struct RemovalNote {
   runnerId @0 :Text;
   revision @1 :UInt64;
-  isLapsed @2 :Bool;  # no longer sent: waitMs says how long
+  isLapsed @2 :Bool;  # unused; replaced by waitMs
   waitMs @3 :UInt16;
   bornMs @4 :UInt64;
   isRefused @5 :Bool;
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
@@ -1,4 +1,4 @@
-"""Authentication of datagrams between nodes by a shared, rotating key."""
+"""Authentication of messages between nodes with shared, rotating keys."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 from clementineyoke_wire.wire_error import WireError
 
 TAG_BYTES = 8
-"""64 bits: a forger passes one datagram in 10**19; each byte is paid for each time."""
+"""64 bits: a forged datagram passes with a probability of one in 10**19. Longer tags
+would add to the size of each datagram."""
 
 
 class Seal:
-    """Sign with the first key, accept any: a key is rotated without a gap.
+    """Sign messages with the first key and accept any, so that keys can be rotated.
 
-    A replayed datagram passes the seal. The messages are made so that a repeat does
-    no harm: asks and releases are counted by holder, claims by a holder's unique name.
+    Replayed datagrams are accepted. Handling of messages is idempotent: slot requests
+    and releases are counted per holder, claims by the unique name of their holder.
     """
 
     def __init__(self, *, keys: list[str]) -> None:
         if not keys:
-            message = "at least one peer key is needed"
+            message = "at least one peer key is required"
             raise ValueError(message)
         self._keys = [blake2b(key.encode(), digest_size=32).digest() for key in keys]
 
     def sign(self, payload: bytes) -> bytes:
-        """Return the payload with its tag in front."""
+        """Return the payload prefixed with its authentication tag."""
         return self._tag(self._keys[0], payload) + payload
 
     def open(self, datagram: bytes, *, peer: str) -> bytes:
-        """Return the payload; raises ``WireError`` if no key made its tag."""
+        """Verify a message and return its payload.
+
+        Raises ``WireError`` if its tag matches none of the keys.
+        """
         tag, payload = datagram[:TAG_BYTES], datagram[TAG_BYTES:]
         for key in self._keys:
             if hmac.compare_digest(tag, self._tag(key, payload)):
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/wire_error.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/wire_error.py
@@ -1,10 +1,10 @@
-"""A datagram or body that cannot be read."""
+"""Error for messages from other nodes that are not valid."""
 
 from __future__ import annotations
 
 
 class WireError(Exception):
-    """Say at which step a message from which peer was refused, and why."""
+    """Failed verification or decoding of a message from a peer."""
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
         super().__init__(f"{step} {peer}: {reason}")
--- a/packages/clementineyoke-wire/tests/bounded_stream.feature
+++ b/packages/clementineyoke-wire/tests/bounded_stream.feature
@@ -1,15 +1,13 @@
-Feature: Logs never block a node
+Feature: Logging never blocks a node
 
-  Scenario: Nobody reads the log any more
-    # Symptom: a node stands still although its host is well.
-    # Sequence: the collector of the log hangs, the pipe fills up.
-    # Cause: a write to a full pipe waits for its reader.
-    Given a log pipe that nobody reads
+  Scenario: The log pipe is no longer read
+    # If the log collector hangs, the pipe fills up; a blocking write would freeze the node.
+    Given a log pipe without a reader
     When 5000 lines of 100 bytes are logged at once
-    Then logging has not waited
-    And the lines that did not fit are counted when the pipe is read again
+    Then logging does not block
+    And the dropped lines are reported once the pipe is read again
 
-  Scenario: A flood of lines
-    Given a log pipe that is read all the time
+  Scenario: Too many lines are logged at once
+    Given a log pipe with a continuous reader
     When 5000 lines of 100 bytes are logged at once
-    Then at most 2100 lines were written
+    Then at most 2100 lines are written
--- a/packages/clementineyoke-wire/tests/codec.feature
+++ b/packages/clementineyoke-wire/tests/codec.feature
@@ -1,16 +1,14 @@
-Feature: Messages between nodes
+Feature: Encoding and authentication of messages between nodes
 
-  Scenario: Every message comes back as it was sent
-    Then any message of each kind is the same after encoding and decoding
+  Scenario: Every message is unchanged after encoding and decoding
+    Then any message of each kind is equal after encoding and decoding
 
-  Scenario: Bytes that are no message
-    # Symptom: one datagram from anywhere ends a node's socket, or the whole node.
-    # Sequence: random bytes, or a message with a few bytes changed, are received.
-    # Cause: a decoder that raises what its caller does not expect.
-    Then random bytes and damaged messages are refused or read, and nothing else
+  Scenario: Received bytes are not a valid message
+    # An unexpected exception of the decoder on random or corrupted bytes would close the socket or end the node.
+    Then random bytes and corrupted messages are decoded or raise a WireError
 
-  Scenario: A datagram that no peer signed
-    Given a message sealed with the key "old"
-    Then a node with the keys "new, old" opens it
+  Scenario: A message is not signed with a key of the node
+    Given a message signed with the key "old"
+    Then a node with the keys "new, old" accepts it
     And a node with the key "new" refuses it
     And with any one bit changed a node with the keys "new, old" refuses it
--- a/packages/clementineyoke-wire/tests/steps/bounded_stream_steps.py
+++ b/packages/clementineyoke-wire/tests/steps/bounded_stream_steps.py
@@ -9,16 +9,18 @@
 from clementineyoke_wire.bounded_stream import BoundedStream
 
 
-@given("a log pipe that nobody reads")
-def given_pipe(context):
+@given("a log pipe without a reader")
+def given_unread_pipe(context):
     context.reader, writer = os.pipe()
     context.add_cleanup(os.close, context.reader)
     context.add_cleanup(os.close, writer)
-    # No bound on the rate: what is dropped is dropped for the full pipe.
-    context.stream = BoundedStream(descriptor=writer, lines_per_s=1e9, most_saved=1e9)
+    # The rate is unlimited, so that lines are only dropped because the pipe is full.
+    context.stream = BoundedStream(
+        descriptor=writer, max_lines_per_s=1e9, max_burst_lines=1e9
+    )
 
 
-@given("a log pipe that is read all the time")
+@given("a log pipe with a continuous reader")
 def given_read_pipe(context):
     reader, writer = os.pipe()
     context.chunks = []
@@ -40,14 +42,14 @@
         context.stream.write_line("x" * (size - 1))
 
 
-@then("logging has not waited")
-def check_not_waited(context):
-    # A write that waited for a reader would never have come back.
+@then("logging does not block")
+def check_not_blocked(context):
+    # A blocking write would never have returned, since the pipe has no reader.
     assert context.stream.dropped > 0
 
 
-@then("the lines that did not fit are counted when the pipe is read again")
-def check_counted(context):
+@then("the dropped lines are reported once the pipe is read again")
+def check_dropped_count(context):
     dropped = context.stream.dropped
     written = os.read(context.reader, 1_000_000).count(b"\n")
     assert written + dropped == context.count
@@ -57,8 +59,8 @@
     assert line == "after"
 
 
-@then("at most {most:d} lines were written")
-def check_written(context, most):
+@then("at most {max_lines:d} lines are written")
+def check_written(context, max_lines):
     os.close(context.writer)
     context.thread.join()
-    assert b"".join(context.chunks).count(b"\n") <= most
+    assert b"".join(context.chunks).count(b"\n") <= max_lines
--- a/packages/clementineyoke-wire/tests/steps/codec_steps.py
+++ b/packages/clementineyoke-wire/tests/steps/codec_steps.py
@@ -22,7 +22,7 @@
 from clementineyoke_wire.seal import Seal
 from clementineyoke_wire.wire_error import WireError
 
-BITS = {
+FIELD_BITS = {
     "runner": 64,
     "pool": 64,
     "team": 64,
@@ -50,7 +50,7 @@
     "state": 8,
 }
 TEXT = st.text(st.characters(exclude_categories=["Cs"], exclude_characters="\0"))
-BY_TYPE = {
+STRATEGIES = {
     bool: st.booleans(),
     float: st.floats(width=32, allow_nan=False),
     str: TEXT,
@@ -60,9 +60,9 @@
 
 def values_of(name, hint):
     if hint is int:
-        return st.integers(0, 2 ** BITS.get(name, 32) - 1)
-    if hint in BY_TYPE:
-        return BY_TYPE[hint]
+        return st.integers(0, 2 ** FIELD_BITS.get(name, 32) - 1)
+    if hint in STRATEGIES:
+        return STRATEGIES[hint]
     (entry,) = get_args(hint)
     if entry is int:
         return st.lists(st.integers(0, 2**32 - 1), max_size=5)
@@ -81,10 +81,12 @@
 
 
 def checked(examples):
+    # Examples are derived from the source of each decorated check, so that they are the
+    # same in every run; rewording a check changes its examples.
     return hypothesis_settings(max_examples=examples, derandomize=True, deadline=None)
 
 
-@then("any message of each kind is the same after encoding and decoding")
+@then("any message of each kind is equal after encoding and decoding")
 def check_round_trip(context):
     kinds = set()
 
@@ -100,7 +102,7 @@
     assert kinds == set(get_args(Message))
 
 
-@then("random bytes and damaged messages are refused or read, and nothing else")
+@then("random bytes and corrupted messages are decoded or raise a WireError")
 def check_fuzz(context):
     outcomes = set()
 
@@ -110,7 +112,7 @@
         except WireError:
             outcomes.add("refused")
         else:
-            outcomes.add("read")
+            outcomes.add("decoded")
 
     @checked(500)
     @for_any(st.binary(max_size=300))
@@ -134,17 +136,17 @@
     check_random()
     check_damaged()
     check_tags()
-    assert outcomes == {"refused", "read"}
+    assert outcomes == {"refused", "decoded"}
 
 
-@given('a message sealed with the key "{key}"')
-def given_sealed(context, key):
+@given('a message signed with the key "{key}"')
+def given_signed(context, key):
     context.payload = encode(SlotAsk(1, 2, 0.0), incarnation=1)
     context.datagram = Seal(keys=[key]).sign(context.payload)
 
 
-@then('a node with the keys "{keys}" opens it')
-def check_opens(context, keys):
+@then('a node with the keys "{keys}" accepts it')
+def check_accepted(context, keys):
     seal = Seal(keys=keys.split(", "))
     assert seal.open(context.datagram, peer="peer") == context.payload
 
@@ -158,14 +160,14 @@
 
 
 @then('a node with the key "{keys}" refuses it')
-def check_refuses(context, keys):
+def check_refused(context, keys):
     assert is_refused(keys, context.datagram)
 
 
 @then('with any one bit changed a node with the keys "{keys}" refuses it')
-def check_bits(context, keys):
-    for place in range(len(context.datagram) * 8):
+def check_changed_bits(context, keys):
+    for bit in range(len(context.datagram) * 8):
         changed = bytearray(context.datagram)
-        changed[place // 8] ^= 1 << place % 8
-        assert is_refused(keys, bytes(changed)), place
+        changed[bit // 8] ^= 1 << bit % 8
+        assert is_refused(keys, bytes(changed)), bit
     assert is_refused(keys, b"")
