--- a/packages/clementineyoke-cli/src/clementineyoke_cli/__init__.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The operators command line."""
+"""Command-line interface for operators."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/admin_client.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to a node's operator interface."""
+"""HTTP client for the operator API of a node."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
     from clementineyoke_wire.bodies import SettingsChangeBody
 
 TIMEOUT_S = 15.0
-STATUS_ERROR = 400
+MIN_ERROR_STATUS = 400
 
 
 class AdminClient:
-    """Talk to one node as an operator."""
+    """Client for one node, authenticated with an operator key."""
 
     def __init__(self, *, url: str, key: str) -> None:
         self._url = url.rstrip("/")
         self._key = key
 
     async def get(self, path: str, /, **params: str) -> Any:
-        """Return the JSON answer of a read; raises ``AdminError``."""
+        """Return the JSON body of a GET request; raises ``AdminError`` on failure."""
         return await self._call("GET", path, params=params)
 
     async def change_settings(self, body: SettingsChangeBody) -> Any:
-        """Ask for a change of settings; raises ``AdminError`` when it is refused."""
+        """Submit a change of settings; raises ``AdminError`` if it is refused."""
         return await self._call("POST", "/admin/settings", json=body)
 
     async def drain(self) -> Any:
-        """Tell the node to drain and end."""
+        """Make the node drain and exit; raises ``AdminError`` on failure."""
         return await self._call("POST", "/admin/drain")
 
     def call(self, method: str, *args: Any, **kwargs: Any) -> Any:
-        """Run one of the calls from code that is not asynchronous."""
+        """Run one of the asynchronous methods, given by name, from synchronous code."""
         return asyncio.run(getattr(self, method)(*args, **kwargs))
 
     async def _call(self, method: str, path: str, **options: Any) -> Any:
@@ -56,7 +56,7 @@
             raise AdminError(
                 step=path, peer=self._url, reason=repr(error), details=[]
             ) from error
-        if response.status >= STATUS_ERROR:
+        if response.status >= MIN_ERROR_STATUS:
             raise AdminError(
                 step=body.get("step", path),
                 peer=self._url,
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/admin_error.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/admin_error.py
@@ -1,10 +1,10 @@
-"""A refused or failed call to a node's operator interface."""
+"""Error raised when an operation of the command-line tool fails."""
 
 from __future__ import annotations
 
 
 class AdminError(Exception):
-    """Say at which step which node refused, why, and every detail."""
+    """Failed step, the node or file that it failed at, the reason and all details."""
 
     def __init__(
         self, *, step: str, peer: str, reason: str, details: list[str]
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/console/__init__.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/console/__init__.py
@@ -1,3 +1,3 @@
-"""Commands: they only parse and print."""
+"""Parsing of arguments and output of results."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/console/main.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/console/main.py
@@ -1,4 +1,4 @@
-"""``clementineyoke``: the operators' binary."""
+"""Entry point of ``clementineyoke``, the command-line tool for operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Entry point of the binary."""
+    """Run the command that the arguments name; exits with 1 on ``AdminError``."""
     try:
         fire.Fire(Commands, name="clementineyoke")
     except AdminError as error:
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/console/printing.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/console/printing.py
@@ -1,4 +1,4 @@
-"""Print results for people, or as JSON."""
+"""Output of results as plain text or JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def print_result(result: Any, *, as_json: bool) -> None:
-    """Print a result: indented JSON, or one line a leaf."""
+    """Print a result as indented JSON, or as one line per leaf value."""
     if as_json:
         print(json.dumps(result, indent=2))
         return
@@ -20,7 +20,7 @@
 
 
 def print_error(error: AdminError) -> None:
-    """Print an error with its details to standard error."""
+    """Print an error and its details to standard error."""
     print(f"error: {error}", file=sys.stderr)
     for detail in error.details:
         print(f"  {detail}", file=sys.stderr)
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/log_story.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/log_story.py
@@ -1,4 +1,4 @@
-"""Join the log lines of several nodes into the story of one request."""
+"""Timeline of a request from the logs of several nodes."""
 
 from __future__ import annotations
 
@@ -12,61 +12,68 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-AROUND = timedelta(seconds=3)
-"""How far from the request's lines what happened to its runners still matters."""
+CONTEXT_WINDOW = timedelta(seconds=3)
+"""Events of runners and nodes are included up to this time before and after the lines
+of the request."""
 RUNNER_SIGNALS = frozenset(("runner_draining", "runner_backoff"))
-"""Signals of runners in answers to any request."""
+"""Events for signals that runners send in responses to any request."""
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
 
-def read_story(request_id: str, files: Sequence[str]) -> list[str]:
-    """Return the request's lines and what its runners met meanwhile, in order.
+def read_request_timeline(request_id: str, files: Sequence[str]) -> list[str]:
+    """Return the log lines that explain a request, rendered and sorted by time.
 
-    A request that was refused for its earlier copies is told with those: their lines
-    bear the same mark, whatever their ids. So is one that passed over a runner for its
-    signal in the answer to another request.
+    Besides the lines of the request these are events of its runners and nodes at that
+    time, lines of requests with the same digest, since a request may be refused for
+    crashes of earlier copies with other ids, and signals for which it passed over
+    runners, since these may come with responses to other requests.
 
-    Raises ``AdminError`` when a file cannot be read or no line names the request.
+    Raises ``AdminError`` if a file cannot be read or no line contains the request.
     """
-    lines = [line for file in files for line in _read(file)]
-    own = [line for line in lines if line.get("request_id") == request_id]
-    if not own:
+    lines = [line for file in files for line in _read_lines(file)]
+    request_lines = [line for line in lines if line.get("request_id") == request_id]
+    if not request_lines:
         raise AdminError(
             step="explain",
             peer=", ".join(files),
-            reason=f"no line names {request_id}",
+            reason=f"no log line of request {request_id} found",
             details=[],
         )
-    story = own + _around(own, lines) + _same(own, lines) + _signals(own, lines)
-    return [_render(line) for line in sorted(story, key=lambda line: line["time"])]
+    timeline = (
+        request_lines
+        + _context_lines(request_lines, lines)
+        + _copy_lines(request_lines, lines)
+        + _signal_lines(request_lines, lines)
+    )
+    return [_render(line) for line in sorted(timeline, key=lambda line: line["time"])]
 
 
-def _read(file: str) -> Iterator[Line]:
+def _read_lines(file: str) -> Iterator[LogLine]:
     try:
         text = Path(file).read_text(encoding="utf-8", errors="replace")
     except OSError as error:
         raise AdminError(
             step="read", peer=file, reason=str(error), details=[]
         ) from error
-    for row in text.splitlines():
-        # A collector may put its own time and the host's name before each line.
-        start = row.find("{")
+    for text_line in text.splitlines():
+        # Log collectors may prefix each line with a time and the name of the host.
+        start = text_line.find("{")
         if start < 0:
             continue
         try:
-            line = json.loads(row[start:])
+            line = json.loads(text_line[start:])
         except ValueError:
-            continue  # torn at the end of a file that is still written
+            continue  # incomplete last line of a file that is still being written
         if isinstance(line, dict) and "time" in line:
             yield line
 
 
-def _around(own: list[Line], lines: list[Line]) -> list[Line]:
-    runners = {line["runner"] for line in own if line.get("runner")}
-    processes = {line.get("process") for line in own}
-    first = _time_of(own[0]) - AROUND
-    last = _time_of(own[-1]) + AROUND
+def _context_lines(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+    runners = {line["runner"] for line in request_lines if line.get("runner")}
+    processes = {line.get("process") for line in request_lines}
+    first = _time_of(request_lines[0]) - CONTEXT_WINDOW
+    last = _time_of(request_lines[-1]) + CONTEXT_WINDOW
     return [
         line
         for line in lines
@@ -76,42 +83,44 @@
     ]
 
 
-def _same(own: list[Line], lines: list[Line]) -> list[Line]:
-    """Return what was logged of other calls that asked for the same."""
-    marks = {line["request_digest"] for line in own if line.get("request_digest")}
+def _copy_lines(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+    """Return the lines of other requests with the same digest."""
+    digests = {
+        line["request_digest"] for line in request_lines if line.get("request_digest")
+    }
     return [
         line
         for line in lines
-        if line.get("request_digest") in marks and line not in own
+        if line.get("request_digest") in digests and line not in request_lines
     ]
 
 
-def _signals(own: list[Line], lines: list[Line]) -> list[Line]:
-    """Return the signals that the request's runners had sent in other answers."""
-    runners = {line["runner"] for line in own if line.get("runner")}
-    for line in own:
+def _signal_lines(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+    """Return earlier signals of runners that the request used or passed over."""
+    runners = {line["runner"] for line in request_lines if line.get("runner")}
+    for line in request_lines:
         runners.update(line.get("passed_over") or ())
-    last = _time_of(own[-1])
+    last = _time_of(request_lines[-1])
     return [
         line
         for line in lines
         if line["message"] in RUNNER_SIGNALS
         and line.get("runner") in runners
-        and line not in own
+        and line not in request_lines
         and _time_of(line) <= last
     ]
 
 
-def _time_of(line: Line) -> datetime:
+def _time_of(line: LogLine) -> datetime:
     return datetime.fromisoformat(line["time"])
 
 
-def _render(line: Line) -> str:
-    hidden = ("time", "level", "message", "event", "process", "traceback")
+def _render(line: LogLine) -> str:
+    omitted = ("time", "level", "message", "event", "process", "traceback")
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in hidden and value not in (None, "")
+        if name not in omitted and value not in (None, "")
     )
-    clock = _time_of(line).strftime("%H:%M:%S.%f")[:-3]
-    return f"{clock} {line.get('process', '?')} {line['message']} {fields}"
+    timestamp = _time_of(line).strftime("%H:%M:%S.%f")[:-3]
+    return f"{timestamp} {line.get('process', '?')} {line['message']} {fields}"
--- a/packages/clementineyoke-cli/src/clementineyoke_cli/settings_file.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/settings_file.py
@@ -1,4 +1,4 @@
-"""Operators' settings files: JSON with comments, a document of path to values."""
+"""Settings files of operators: JSON with comments, mapping paths to field values."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 
 def read_settings_file(path: str) -> dict[str, dict[str, Any] | None]:
-    """Return a checked document; raises ``AdminError`` that names every fault."""
+    """Read and validate a settings file.
+
+    Raises ``AdminError`` with all violations in its details.
+    """
     try:
         document = json5.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise AdminError(
             step="read", peer=path, reason=str(error), details=[]
         ) from error
-    faults = find_violations(document)
-    if faults:
+    violations = find_violations(document)
+    if violations:
         raise AdminError(
             step="validate",
             peer=path,
-            reason=f"{len(faults)} faults; nothing was changed",
-            details=[str(fault) for fault in faults],
+            reason=f"{len(violations)} errors; nothing was changed",
+            details=[str(violation) for violation in violations],
         )
-    checked: dict[str, dict[str, Any] | None] = document
-    return checked
+    edits: dict[str, dict[str, Any] | None] = document
+    return edits
--- a/packages/clementineyoke-cli/tests/console/commands.feature
+++ b/packages/clementineyoke-cli/tests/console/commands.feature
@@ -1,21 +1,19 @@
-Feature: The operators' command line
+Feature: Command-line interface for operators
 
-  Scenario: A file with faults names every one and exits 1
-    Given a settings file with 2 faults
+  Scenario: An invalid settings file is checked
+    Given a settings file with 2 violations
     When the operator runs "check FILE"
-    Then it exits 1 and names both paths
+    Then it exits 1 and prints both violations
 
-  Scenario: A file with comments is read
+  Scenario: A settings file with comments is checked
     Given the sample settings of the league
     When the operator runs "check FILE --json"
-    Then it exits 0 and says 12 paths
+    Then it exits 0 and prints a count of 12 paths
 
-  Scenario: Settings are applied and looked up through a node
-    # Symptom: "settings get /league/finals-desk" ends with a traceback.
-    # Sequence: any look-up that names a path.
-    # Cause: the parameter "path" met the client's own argument of that name.
+  Scenario: Settings are applied and read through a node
+    # "settings get PATH" fails with a traceback if the query parameter "path" collides with an argument of the client.
     Given the sample settings of the league
-    And a node's operator interface
+    And a node's operator API
     When the operator runs "settings apply FILE --note=first"
     Then it exits 0
     When the operator runs "settings get /league/finals-desk"
@@ -28,11 +26,11 @@
     When the operator runs "settings history"
     Then it exits 0 and prints "[0].note: first"
 
-  Scenario: A wrong operator key
-    Given a node's operator interface
+  Scenario: The operator key is wrong
+    Given a node's operator API
     When the operator runs "status" with a wrong key
-    Then it exits 1 and names the step authenticate
+    Then it exits 1 and prints the step authenticate
 
-  Scenario: Nobody listens
+  Scenario: The node is not listening
     When the operator runs "status --node=http://127.0.0.1:9"
-    Then it exits 1 and names the step /admin/status
+    Then it exits 1 and prints the step /admin/status
--- a/packages/clementineyoke-cli/tests/environment.py
+++ b/packages/clementineyoke-cli/tests/environment.py
@@ -14,9 +14,9 @@
 
 
 def before_scenario(context, scenario):
-    folder = tempfile.TemporaryDirectory()
-    context.add_cleanup(folder.cleanup)
-    context.folder = Path(folder.name)
-    context.runner = asyncio.Runner()
-    context.add_cleanup(context.runner.close)
+    directory = tempfile.TemporaryDirectory()
+    context.add_cleanup(directory.cleanup)
+    context.directory = Path(directory.name)
+    context.async_runner = asyncio.Runner()
+    context.add_cleanup(context.async_runner.close)
     context.env = {}
--- a/packages/clementineyoke-cli/tests/steps/commands_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/commands_steps.py
@@ -22,25 +22,25 @@
 ROOT = Path(__file__).parents[4]
 
 
-@given("a settings file with 2 faults")
-def given_bad_file(context):
-    context.file = context.folder / "bad.json"
+@given("a settings file with 2 violations")
+def given_invalid_file(context):
+    context.file = context.directory / "bad.json"
     context.file.write_text('{"/": {"priority": 10}, // two\n "/a/b": {"none": 1}}')
 
 
 @given("the sample settings of the league")
-def given_sample(context):
+def given_sample_settings(context):
     context.file = ROOT / "samples" / "league-settings.json"
 
 
-@given("a node's operator interface")
-def given_admin(context):
-    context.runner.run(serve(context))
+@given("a node's operator API")
+def given_operator_api(context):
+    context.async_runner.run(serve(context))
 
 
 async def serve(context):
     objects = MemoryObjectApi()
-    keeper = SettingsReplica(
+    settings = SettingsReplica(
         objects=objects,
         peers=None,
         has_watch_duty=lambda: True,
@@ -49,8 +49,8 @@
     api = AdminApi(
         key_hashes=[hash_key(KEY)],
         seal=Seal(keys=["peer"]),
-        keeper=keeper,
-        writer=SettingsWriter(objects=objects, settings=keeper, author_node="node"),
+        keeper=settings,
+        writer=SettingsWriter(objects=objects, settings=settings, author_node="node"),
         decisions=DecisionRing(),
         metrics=Metrics(),
         timers=TimerService(),
@@ -58,17 +58,17 @@
         is_ready=lambda: True,
         begin_drain=lambda: None,
     )
-    runner = web.AppRunner(api.application())
-    await runner.setup()
-    context.add_cleanup(lambda: context.runner.run(runner.cleanup()))
-    site = web.TCPSite(runner, "127.0.0.1", 0)
+    app_runner = web.AppRunner(api.application())
+    await app_runner.setup()
+    context.add_cleanup(lambda: context.async_runner.run(app_runner.cleanup()))
+    site = web.TCPSite(app_runner, "127.0.0.1", 0)
     await site.start()
     port = site._server.sockets[0].getsockname()[1]
     context.env["CLEMENTINEYOKE_NODE"] = f"http://127.0.0.1:{port}"
 
 
 def run(context, command, key):
-    words = command.replace("FILE", str(getattr(context, "file", ""))).split()
+    arguments = command.replace("FILE", str(getattr(context, "file", ""))).split()
     env = {**os.environ, "CLEMENTINEYOKE_KEY": key, "PAGER": "cat", **context.env}
 
     async def call():
@@ -76,7 +76,7 @@
             sys.executable,
             "-m",
             "clementineyoke_cli.console.main",
-            *words,
+            *arguments,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
             env=env,
@@ -84,16 +84,16 @@
         output, _ = await process.communicate()
         context.exit_code, context.output = process.returncode, output.decode()
 
-    context.runner.run(call())
+    context.async_runner.run(call())
 
 
 @when('the operator runs "{command}" with a wrong key')
-def run_wrong(context, command):
+def run_with_wrong_key(context, command):
     run(context, command, "wrong")
 
 
 @when('the operator runs "{command}"')
-def run_right(context, command):
+def run_with_key(context, command):
     run(context, command, KEY)
 
 
@@ -103,30 +103,30 @@
 
 
 @then('it exits {code:d} and prints "{text}"')
-def check_print(context, code, text):
+def check_exit_and_output(context, code, text):
     assert context.exit_code == code, context.output
     assert text in context.output, context.output
 
 
 @then('it prints "{text}"')
-def check_also(context, text):
+def check_output(context, text):
     assert text in context.output, context.output
 
 
-@then("it exits {code:d} and names both paths")
-def check_both(context, code):
+@then("it exits {code:d} and prints both violations")
+def check_violations(context, code):
     assert context.exit_code == code, context.output
     assert "/ priority: is 10" in context.output
     assert "/a/b none: is no known field" in context.output
 
 
-@then("it exits {code:d} and says {count:d} paths")
-def check_count(context, code, count):
+@then("it exits {code:d} and prints a count of {count:d} paths")
+def check_path_count(context, code, count):
     assert context.exit_code == code, context.output
     assert f'"paths": {count}' in context.output
 
 
-@then("it exits {code:d} and names the step {step}")
+@then("it exits {code:d} and prints the step {step}")
 def check_step(context, code, step):
     assert context.exit_code == code, context.output
     assert context.output.startswith(f"error: {step}"), context.output
--- a/packages/clementineyoke-cli/tests/steps/explain_logs_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/explain_logs_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_cli.log_story import read_story
+from clementineyoke_cli.log_story import read_request_timeline
 
 
 def make_line(second, message, **fields):
@@ -15,7 +15,7 @@
     )
 
 
-@given("the logs of 2 nodes, collected with a prefix and with a torn last line")
+@given("the logs of 2 nodes, collected with a prefix and with an incomplete last line")
 def given_logs(context):
     one = [
         make_line(1, "routed", request_id="r-1", runner="a", process="node-1"),
@@ -31,33 +31,36 @@
     ]
     context.files = []
     for name, lines in (("one", one), ("two", two)):
-        file = context.folder / f"{name}.log"
+        file = context.directory / f"{name}.log"
         file.write_text("".join(f"17.5 host-{name} {line}\n" for line in lines))
         context.files.append(str(file))
 
 
-@given('the logs of 2 nodes that refuse the copy "{last}" for "{first}" and "{second}"')
+@given(
+    'the logs of 2 nodes that refuse the copy "{last}" because of "{first}" and '
+    '"{second}"'
+)
 def given_refusing_logs(context, last, first, second):
-    mark = {"request_digest": "aa11"}
+    digest = {"request_digest": "aa11"}
     one = [
-        make_line(1, "runner_failed", request_id=first, runner="a", **mark),
-        make_line(9, "request_suspected", runners=["a", "b"], **mark),
-        make_line(20, "request_barred", request_id=last, **mark),
+        make_line(1, "runner_failed", request_id=first, runner="a", **digest),
+        make_line(9, "request_suspected", runners=["a", "b"], **digest),
+        make_line(20, "request_barred", request_id=last, **digest),
         make_line(20, "route_refused", request_id=last),
     ]
     two = [
-        make_line(8, "runner_failed", request_id=second, runner="b", **mark),
+        make_line(8, "runner_failed", request_id=second, runner="b", **digest),
         make_line(8, "runner_failed", request_id="r-4", request_digest="bb22"),
     ]
     context.files = []
     for name, lines in (("one", one), ("two", two)):
-        file = context.folder / f"{name}.log"
+        file = context.directory / f"{name}.log"
         file.write_text("".join(f"{line}\n" for line in lines))
         context.files.append(str(file))
 
 
 @given(
-    'the logs of 2 nodes, in which "{first}" and "{second}" heard runners that '
+    'the logs of 2 nodes in which "{first}" and "{second}" got signals of runners that '
     '"{last}" passed over'
 )
 def given_signals(context, first, second, last):
@@ -74,32 +77,32 @@
     ]
     context.files = []
     for name, lines in (("one", one), ("two", two)):
-        file = context.folder / f"{name}.log"
+        file = context.directory / f"{name}.log"
         file.write_text("".join(f"{line}\n" for line in lines))
         context.files.append(str(file))
 
 
-@when('the operator explains the request "{request_id}" by them')
-def explain(context, request_id):
-    context.story = context.error = None
+@when('the operator runs explain for the request "{request_id}" on these logs')
+def run_explain(context, request_id):
+    context.timeline = context.error = None
     try:
-        context.story = read_story(request_id, context.files)
+        context.timeline = read_request_timeline(request_id, context.files)
     except AdminError as error:
         context.error = error
 
 
-@then('the story names in order "{messages}"')
-def check_story(context, messages):
-    found = [line.split(" ")[2] for line in context.story]
-    assert found == messages.split(", "), context.story
+@then('the timeline lists in order "{messages}"')
+def check_timeline(context, messages):
+    found = [line.split(" ")[2] for line in context.timeline]
+    assert found == messages.split(", "), context.timeline
 
 
-@then('it says nothing of the request "{request_id}"')
-def check_silent(context, request_id):
-    assert not [line for line in context.story if request_id in line]
+@then('it does not contain the request "{request_id}"')
+def check_request_absent(context, request_id):
+    assert not [line for line in context.timeline if request_id in line]
 
 
-@then("the command fails and names the request and the files")
+@then("the command fails with an error that names the request and the files")
 def check_error(context):
     assert "r-9" in str(context.error)
     assert "one.log" in str(context.error)
