--- a/packages/clementineyoke-cli/src/clementineyoke_cli/admin_error.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/admin_error.py
@@ -4,7 +4,7 @@
 
 
 class AdminError(Exception):
-    """Failed step, the node or file that it failed at, the reason and all details."""
+    """Failure of a step at a node or file, with its reason and details."""
 
     def __init__(
         self, *, step: str, peer: str, reason: str, details: list[str]
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/peer.capnp
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/peer.capnp
@@ -47,7 +47,7 @@
 struct RemovalNote {
   runnerId @0 :Text;
   revision @1 :UInt64;
-  isLapsed @2 :Bool;  # unused; replaced by waitMs
+  isLapsed @2 :Bool;  # no longer sent; replaced by waitMs
   waitMs @3 :UInt16;
   bornMs @4 :UInt64;
   isRefused @5 :Bool;
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
@@ -13,7 +13,9 @@
 
 
 class Seal:
-    """Sign messages with the first key and accept any, so that keys can be rotated.
+    """Sign messages with the first key and accept any key.
+
+    Keys can therefore be rotated without interruption.
 
     Replayed datagrams are accepted. Handling of messages is idempotent: slot requests
     and releases are counted per holder, claims by the unique name of their holder.
