--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -53,8 +53,8 @@
     Mutation(
         "a last ask carries the mean of busy runners alone",
         f"{DECISIONS}/slot_search.py",
-        "seen_mean = sum(one.in_use for one in self._refused) / len(self._refused)",
-        "seen_mean = max(one.in_use for one in self._refused)",
+        "seen_mean = sum(r.in_use for r in self._refusals) / len(self._refusals)",
+        "seen_mean = max(r.in_use for r in self._refusals)",
         f"{CORE}/tests/slot_search.feature",
     ),
     Mutation(
@@ -102,14 +102,14 @@
     Mutation(
         "a zone that returns is taken at its runners' last word",
         f"{DECISIONS}/cold_runners.py",
-        "if lasts_ms > 0.0:",
+        "if duration_ms > 0.0:",
         "if False:",
         COLD,
     ),
     Mutation(
         "prompts are fetched by the ring's order alone",
         f"{DECISIONS}/edge/prompt_holders.py",
-        "return holder.runner",
+        "        return holder.runner\n",
         "        return None\n",
         f"{PURE}/prompt_holders.feature",
     ),
@@ -341,14 +341,14 @@
     Mutation(
         "a paused runner is pressed first",
         f"{DECISIONS}/slot_search.py",
-        "chosen = min(left)",
-        "chosen = max(left)",
+        "chosen = min(candidates)",
+        "chosen = max(candidates)",
         f"{CORE}/tests/slot_search.feature",
     ),
     Mutation(
         "homes pause nobody",
         f"{DECISIONS}/fault_rate_breaker.py",
-        "is_paused = tally.until_ms > now_ms",
+        "is_paused = tally.paused_until_ms > now_ms",
         "is_paused = True",
         f"{CORE}/tests/fault_share.feature",
     ),
@@ -474,14 +474,16 @@
     Mutation(
         "one node's word makes a runner unreachable",
         f"{DECISIONS}/reachability_breaker.py",
-        "if reporters < LEAST_REPORTERS:",
+        "if reporters < MIN_REPORTERS:",
         "if False:",
         f"{CORE}/tests/reachability.feature",
     ),
     Mutation(
         "answers do not tell a busy runner from a dead one",
         f"{DECISIONS}/reachability_breaker.py",
-        "self._silences.pop(runner_id, None)\n\n    def record_unreachable",
+        "self._outages.pop(runner_id, None)\n"
+        "\n"
+        "    def record_unreachable",
         "return\n\n    def record_unreachable",
         f"{CORE}/tests/reachability.feature",
     ),
@@ -495,7 +497,7 @@
     Mutation(
         "a leaving node tells it as often as any rumour",
         f"{DECISIONS}/membership.py",
-        "if self.is_leaving and self._own.node_id not in chosen:",
+        "if self.is_leaving and self._local_node.node_id not in chosen:",
         "if False:",
         f"{CORE}/tests/membership.feature",
     ),
