--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from msgspec import DecodeError, json
 
-from clementineyoke_node.callers.authenticator import fits_any
+from clementineyoke_node.callers.authenticator import matches_any_hash
 from clementineyoke_node.metrics_page import answer_with_metrics
 from clementineyoke_node.settings.peer_settings import (
     CHANGES_PATH,
@@ -43,7 +43,7 @@
         *,
         key_hashes: list[str],
         seal: Seal,
-        keeper: SettingsReplica,
+        settings: SettingsReplica,
         writer: SettingsWriter,
         decisions: DecisionRing,
         metrics: Metrics,
@@ -54,7 +54,7 @@
     ) -> None:
         self._key_hashes = key_hashes
         self._seal = seal
-        self._keeper = keeper
+        self._settings = settings
         self._writer = writer
         self._decisions = decisions
         self._metrics = metrics
@@ -83,7 +83,9 @@
         async def guarded(request: web.Request) -> web.StreamResponse:
             header = request.headers.get("Authorization", "")
             key = header.removeprefix(BEARER)
-            if not header.startswith(BEARER) or not fits_any(key, self._key_hashes):
+            if not header.startswith(BEARER) or not matches_any_hash(
+                key, self._key_hashes
+            ):
                 return _refuse(401, "authenticate", "the operator key is wrong")
             return await handler(request)
 
@@ -103,14 +105,14 @@
         after = request.query.get("after", "")
         if not after.isdecimal():
             return _refuse(400, "read_query", "after must be a whole number")
-        changes = self._keeper.log.changes_after(int(after))
+        changes = self._settings.log.changes_after(int(after))
         if changes is None:
             return _refuse(410, "find_changes", "these changes are no longer kept")
         encoded = encode_changes(changes[:MOST_CHANGES], seal=self._seal)
         return web.Response(body=encoded)
 
     async def _peer_snapshot(self, request: web.Request) -> web.StreamResponse:
-        log = self._keeper.log
+        log = self._settings.log
         if log.version == 0:
             return _refuse(410, "find_snapshot", "no settings are in force here yet")
         return web.Response(body=encode_snapshot(log.snapshot(), seal=self._seal))
@@ -124,7 +126,7 @@
 
     async def _get_settings(self, request: web.Request) -> web.StreamResponse:
         path = request.query.get("path", "/")
-        log = self._keeper.log
+        log = self._settings.log
         fields = {
             name: {"value": resolved.value, "source": resolved.source}
             for name, resolved in log.tree.resolve(path).items()
@@ -139,7 +141,7 @@
         return web.json_response(body)
 
     async def _history(self, request: web.Request) -> web.StreamResponse:
-        log = self._keeper.log
+        log = self._settings.log
         recent = range(max(0, log.version - MOST_CHANGES), log.version)
         changes = log.changes_after(recent.start) or []
         return web.Response(body=json.encode(changes), content_type="application/json")
--- a/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
@@ -33,7 +33,7 @@
 
     def __init__(self, *, config: NodeConfig, state: NodeState, io: NodeIo) -> None:
         self._max_body_bytes = config.max_body_bytes
-        authenticator = Authenticator(keeper=io.keeper)
+        authenticator = Authenticator(settings=io.keeper)
         limiter = TeamLimiter(
             membership=state.membership,
             homes=state.fleet_homes,
@@ -82,7 +82,7 @@
             homes=state.region_homes,
             rings=state.rings,
             steering=Steering(),
-            keeper=io.keeper,
+            settings=io.keeper,
             tokens=placements,
         )
 
@@ -96,6 +96,6 @@
         app.router.add_route("*", SERVICE_ROUTE, guard(self._services.handle))
         return app
 
-    async def finish_runs(self) -> None:
+    async def wait_for_runs(self) -> None:
         """Wait for the non-idempotent runs whose callers went away."""
-        await self._services.finish_runs()
+        await self._services.wait_for_runs()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
@@ -1,4 +1,4 @@
-"""Which address to use: ``GET /v1/addresses``."""
+"""Lists the nodes that a caller should connect to: ``GET /v1/addresses``."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class AddressHandler:
-    """Answer with the nodes that serve a team, and a chat, most cheaply."""
+    """Return the nodes that serve a team, or one of its chats, at the lowest cost."""
 
     def __init__(
         self,
@@ -32,25 +32,29 @@
         homes: RunnerHomes,
         rings: PoolRings,
         steering: Steering,
-        keeper: SettingsReplica,
+        settings: SettingsReplica,
         tokens: PlacementTokenCodec,
     ) -> None:
         self._membership = membership
         self._homes = homes
         self._rings = rings
         self._steering = steering
-        self._keeper = keeper
+        self._settings = settings
         self._tokens = tokens
 
     async def handle(
         self, request: web.Request, caller: CallerRequest
     ) -> web.StreamResponse:
-        """Return the ordered list; ``?model=`` with the chat's headers refines it."""
+        """Return the nodes in order of preference.
+
+        With ``?model=`` and the chat's id in the headers, the home node of the
+        chat's runner comes first.
+        """
         team = caller.team_path
         region = self._membership.local_node.region
         answer = self._steering.choose_nodes(
             team=team,
-            team_rate_per_s=self._keeper.log.tree.value(team, "rate_per_s"),
+            team_rate_per_s=self._settings.log.tree.value(team, "rate_per_s"),
             alive=self._membership.alive(region=region),
             chat_home=self._find_chat_home(request, team),
             rotation=hash_text(caller.request_id),
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/answer_relay.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/answer_relay.py
@@ -1,4 +1,4 @@
-"""Hand a runner's answer to the caller, whole or visibly broken."""
+"""Relay a runner's response to the caller, complete or visibly truncated."""
 
 from __future__ import annotations
 
@@ -17,58 +17,73 @@
     from clementineyoke_core.runner import Runner
 
 EVENT_STREAM = "text/event-stream"
-STREAM_END = b"data: [DONE]"
+STREAM_END_MARK = b"data: [DONE]"
 TAIL_BYTES = 64
-_KEPT_HEADERS = ("Content-Type", "Content-Length", "Content-Encoding", "Cache-Control")
+"""Bytes kept of the end of a stream; the end mark may be split between chunks."""
+_FORWARDED_HEADERS = (
+    "Content-Type",
+    "Content-Length",
+    "Content-Encoding",
+    "Cache-Control",
+)
 
 
-async def relay_answer(
+async def relay_response(
     request: web.Request,
-    answer: aiohttp.ClientResponse,
+    runner_response: aiohttp.ClientResponse,
     *,
     runner: Runner,
     request_id: str,
     extra_headers: Mapping[str, str] | None = None,
 ) -> web.StreamResponse:
-    """Stream an answer through; memory stays bounded by the socket buffers.
+    """Stream a response to the caller; memory use is bounded by the socket buffers.
 
-    Raises ``TruncatedAnswerError`` when the runner's answer ends early. The caller's
-    connection must then be aborted: ending it in order would pass a part off as the
-    whole answer.
+    Raises ``TruncatedAnswerError`` when the runner's response ends early. The caller's
+    connection must then be aborted: if it were closed cleanly, the caller would take
+    the truncated response for a complete one.
     """
-    response = _begin(answer, runner=runner, request_id=request_id)
+    response = _start_response(runner_response, runner=runner, request_id=request_id)
     response.headers.update(extra_headers or {})
     await response.prepare(request)
     tail = b""
     try:
-        async for chunk in answer.content.iter_any():
+        async for chunk in runner_response.content.iter_any():
             await response.write(chunk)
             tail = (tail + chunk)[-TAIL_BYTES:]
     except (aiohttp.ClientError, TimeoutError) as error:
         raise TruncatedAnswerError(
             step="relay", peer=runner.runner_id, reason=repr(error)
         ) from error
-    if answer.content_type == EVENT_STREAM and STREAM_END not in tail:
+    if runner_response.content_type == EVENT_STREAM and STREAM_END_MARK not in tail:
         raise TruncatedAnswerError(
-            step="relay", peer=runner.runner_id, reason="the stream has no end mark"
+            step="relay",
+            peer=runner.runner_id,
+            reason="stream ended without its end mark",
         )
     await response.write_eof()
     return response
 
 
-def has_length(answer: aiohttp.ClientResponse) -> bool:
-    """Tell whether the answer says where it ends; else a cut looks like the end."""
-    chunked = answer.headers.get("Transfer-Encoding", "").lower() == "chunked"
-    return chunked or "Content-Length" in answer.headers or answer.status == 204
+def is_framed(runner_response: aiohttp.ClientResponse) -> bool:
+    """Return whether the response has a length, is chunked or has no body.
+
+    Without framing a lost connection cannot be told from the end of the body.
+    """
+    chunked = runner_response.headers.get("Transfer-Encoding", "").lower() == "chunked"
+    return (
+        chunked
+        or "Content-Length" in runner_response.headers
+        or runner_response.status == 204
+    )
 
 
-def _begin(
-    answer: aiohttp.ClientResponse, *, runner: Runner, request_id: str
+def _start_response(
+    runner_response: aiohttp.ClientResponse, *, runner: Runner, request_id: str
 ) -> web.StreamResponse:
-    response = web.StreamResponse(status=answer.status)
-    for name in _KEPT_HEADERS:
-        if name in answer.headers:
-            response.headers[name] = answer.headers[name]
+    response = web.StreamResponse(status=runner_response.status)
+    for name in _FORWARDED_HEADERS:
+        if name in runner_response.headers:
+            response.headers[name] = runner_response.headers[name]
     response.headers[headers.REQUEST_ID] = request_id
     response.headers[headers.OUTCOME] = Outcome.RAN.value
     response.headers[headers.RUNNER] = runner.runner_id
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/authenticator.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/authenticator.py
@@ -1,4 +1,4 @@
-"""Who calls: the team behind an API key, and its limits."""
+"""Authentication of callers by API key, and the limits of their teams."""
 
 from __future__ import annotations
 
@@ -19,95 +19,95 @@
     from clementineyoke_node.settings.settings_replica import SettingsReplica
 
 STEP = "authenticate"
-_KEY = re.compile(
+_KEY_PATTERN = re.compile(
     r"Bearer ([a-z0-9._-]{1,64})/([a-z0-9._-]{1,64})/([\x21-\x7e]{8,256})"
 )
-_NUMBER = re.compile(r"[0-9]{1,7}")
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,7}")
 
 
 def hash_key(key: str) -> str:
-    """Return what settings hold of a key: its SHA-256 in hex."""
+    """Return the SHA-256 of a key in hex, as stored in the settings."""
     return sha256(key.encode()).hexdigest()
 
 
-def fits_any(key: str, hashes: list[str]) -> bool:
-    """Tell whether a key's hash is listed, in time that does not depend on it."""
-    wanted = hash_key(key)
-    fits = [hmac.compare_digest(wanted, known) for known in hashes]
-    return any(fits)
+def matches_any_hash(key: str, hashes: list[str]) -> bool:
+    """Return whether a key's hash is listed; the comparison takes constant time."""
+    key_hash = hash_key(key)
+    matches = [hmac.compare_digest(key_hash, known_hash) for known_hash in hashes]
+    return any(matches)
 
 
 class Authenticator:
-    """Turn headers into a caller's request; keys look like ``group/team/secret``."""
+    """Build a caller's request from its headers; keys are ``group/team/secret``."""
 
-    def __init__(self, *, keeper: SettingsReplica) -> None:
-        self._keeper = keeper
+    def __init__(self, *, settings: SettingsReplica) -> None:
+        self._settings = settings
 
     def identify(
         self, request: web.Request, *, request_id: str, now_ms: float
     ) -> CallerRequest:
-        """Return the caller's request; raises ``RequestError`` if it has no leave."""
+        """Return the caller's request; raises ``RequestError`` for an invalid key."""
         team_path = self._find_team(request.headers.get("Authorization", ""))
-        return self._bound(
+        return self._apply_limits(
             request,
             CallerRequest(request_id, team_path, now_ms, deadline_ms=now_ms),
             settings_path=team_path,
         )
 
-    def admit_to_pool(
+    def authorize_pool(
         self, request: web.Request, caller: CallerRequest, *, field: str, pool: str
     ) -> CallerRequest:
-        """Return the request with the bounds that the team has at a model or service.
+        """Return the request with the team's limits for a model or service.
 
-        Raises ``RequestError`` unless the team may call it.
+        Raises ``RequestError`` unless the team may call the model or service.
         """
         team_path = caller.team_path
-        if pool not in self._keeper.log.tree.value(team_path, field):
+        if pool not in self._settings.log.tree.value(team_path, field):
             raise RequestError(
                 status=403,
                 outcome=Outcome.NOT_RUN,
                 step="authorize",
                 reason=f"the team may not call {pool!r}; its {field} do not hold it",
             )
-        return self._bound(request, caller, settings_path=f"{team_path}/{pool}")
+        return self._apply_limits(request, caller, settings_path=f"{team_path}/{pool}")
 
-    def _bound(
+    def _apply_limits(
         self, request: web.Request, caller: CallerRequest, *, settings_path: str
     ) -> CallerRequest:
-        tree = self._keeper.log.tree
-        longest_ms = tree.value(settings_path, "deadline_ms")
-        wanted_ms = _read_number(request, headers.DEADLINE_MS, longest_ms)
-        best = tree.value(settings_path, "priority")
-        priority = _read_number(request, headers.PRIORITY, best)
+        tree = self._settings.log.tree
+        max_deadline_ms = tree.value(settings_path, "deadline_ms")
+        requested_ms = _parse_number(request, headers.DEADLINE_MS, max_deadline_ms)
+        default_priority = tree.value(settings_path, "priority")
+        priority = _parse_number(request, headers.PRIORITY, default_priority)
         return caller._replace(
-            deadline_ms=caller.began_ms + min(wanted_ms, longest_ms),
-            priority=max(priority, best),
+            deadline_ms=caller.received_ms + min(requested_ms, max_deadline_ms),
+            priority=max(priority, default_priority),
             queue_ms=tree.value(settings_path, "queue_ms"),
         )
 
     def _find_team(self, authorization: str) -> str:
-        match = _KEY.fullmatch(authorization)
+        match = _KEY_PATTERN.fullmatch(authorization)
         if match is None:
-            raise _no_leave("send Authorization: Bearer group/team/secret")
+            raise _unauthorized("send Authorization: Bearer group/team/secret")
         group, team, secret = match.groups()
         team_path = f"/{group}/{team}"
-        tree: SettingsTree = self._keeper.log.tree
+        tree: SettingsTree = self._settings.log.tree
         if tree.own_values(team_path) is None:
-            raise _no_leave("unknown team or wrong key")
-        if not fits_any(secret, tree.value(team_path, "key_hashes")):
-            raise _no_leave("unknown team or wrong key")
+            raise _unauthorized("unknown team or wrong key")
+        if not matches_any_hash(secret, tree.value(team_path, "key_hashes")):
+            raise _unauthorized("unknown team or wrong key")
         return team_path
 
 
-def _no_leave(reason: str) -> RequestError:
+def _unauthorized(reason: str) -> RequestError:
     return RequestError(status=401, outcome=Outcome.NOT_RUN, step=STEP, reason=reason)
 
 
-def _read_number(request: web.Request, name: str, default: int) -> int:
+def _parse_number(request: web.Request, name: str, default: int) -> int:
     text = request.headers.get(name)
     if text is None:
         return default
-    if not _NUMBER.fullmatch(text):
+    if not _NUMBER_PATTERN.fullmatch(text):
         raise RequestError(
             status=400,
             outcome=Outcome.NOT_RUN,
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/body_reader.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/body_reader.py
@@ -1,4 +1,4 @@
-"""Read a caller's body within bounds of size and time."""
+"""Reads a caller's body within limits of size and time."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from clementineyoke_core.request_error import RequestError
 
 BODY_TIMEOUT_S = 10.0
-"""A caller that stops sending half way would hold a place in the node for ever."""
+"""Without a limit, a caller that stops sending midway would count as in flight
+indefinitely."""
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Return the whole body; raises ``RequestError`` when it is late or too large."""
+    """Return the body; raises ``RequestError`` if it is too large or takes too long."""
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/caller_request.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/caller_request.py
@@ -1,4 +1,4 @@
-"""What the node knows of a caller's request before it routes it."""
+"""A caller's request as it is known before routing."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class CallerRequest(NamedTuple):
-    """An authenticated request with its bounds."""
+    """An authenticated request with its limits."""
 
     request_id: str
     team_path: str
-    began_ms: float
+    received_ms: float
     """Monotonic time at which the request's head was read."""
     deadline_ms: float
-    """Monotonic time by which the whole answer must be there."""
+    """Monotonic time by which the response must be complete."""
     priority: int = 0
     queue_ms: int = 0
-    """Longest wait for a slot."""
+    """Maximum wait for a slot, in milliseconds."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
@@ -1,4 +1,4 @@
-"""Model work: ``POST /v1/chat/completions``."""
+"""Chat completions: ``POST /v1/chat/completions``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from clementineyoke_core.placement_token import ChatScope
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_core.resume_token import StreamLocation
-from clementineyoke_node.callers.answer_relay import relay_answer
+from clementineyoke_node.callers.answer_relay import relay_response
 from clementineyoke_node.callers.body_reader import read_body
 from clementineyoke_node.callers.dispatcher import RoutedCall
 from clementineyoke_wire import headers
@@ -29,14 +29,17 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """One message of a chat; content other than text does not shape the route."""
+    """One message of a chat; only its text content affects routing."""
 
     role: str
     content: Any = ""
 
 
 class ChatBody(msgspec.Struct):
-    """What routing reads of a chat request; the runner gets the body unchanged."""
+    """The fields of a chat request that routing uses.
+
+    The runner receives the body unchanged.
+    """
 
     model: str
     messages: list[ChatMessage]
@@ -46,7 +49,7 @@
 
 
 class ChatHandler:
-    """Route a chat to the runner that holds its context."""
+    """Route a chat to the runner that has its context in the cache."""
 
     def __init__(
         self,
@@ -64,18 +67,18 @@
     async def handle(
         self, request: web.Request, caller: CallerRequest
     ) -> web.StreamResponse:
-        """Stream the runner's answer to the caller."""
+        """Stream the runner's response to the caller."""
         body = await read_body(request)
-        chat = _parse(body)
-        caller = self._authenticator.admit_to_pool(
+        chat = _parse_chat(body)
+        caller = self._authenticator.authorize_pool(
             request, caller, field="models", pool=chat.model
         )
         chat_id = request.headers.get(headers.CHAT_ID, "")
-        place = _place_of(caller, chat, chat_id)
+        scope = _chat_scope(caller, chat, chat_id)
         call = RoutedCall(
             caller=caller,
             pool=chat.model,
-            key=place.key,
+            key=scope.key,
             chat_id=chat_id,
             method="POST",
             path=CHAT_PATH,
@@ -83,49 +86,49 @@
             body=body,
             is_idempotent=True,
             preferred=self._placements.read(
-                place, request.headers.get(headers.PLACEMENT, "")
+                scope, request.headers.get(headers.PLACEMENT, "")
             ),
         )
-        async with self._dispatcher.exchange(call) as (runner, answer):
-            return await relay_answer(
+        async with self._dispatcher.exchange(call) as (runner, runner_response):
+            return await relay_response(
                 request,
-                answer,
+                runner_response,
                 runner=runner,
                 request_id=caller.request_id,
-                extra_headers=self._make_tokens(call, place, runner.runner_id),
+                extra_headers=self._issue_tokens(call, scope, runner.runner_id),
             )
 
-    def _make_tokens(
-        self, call: RoutedCall, place: ChatScope, runner_id: str
+    def _issue_tokens(
+        self, call: RoutedCall, scope: ChatScope, runner_id: str
     ) -> dict[str, str]:
-        made = {headers.PLACEMENT: self._placements.issue(place, runner_id)}
+        tokens = {headers.PLACEMENT: self._placements.issue(scope, runner_id)}
         if headers.RESUMABLE in call.headers:
             stream = StreamLocation(runner_id, call.caller.request_id)
-            made[headers.RESUME] = self._resumes.issue(call.caller.team_path, stream)
-        return made
+            tokens[headers.RESUME] = self._resumes.issue(call.caller.team_path, stream)
+        return tokens
 
 
 def _runner_headers(request: web.Request, caller: CallerRequest) -> dict[str, str]:
-    sent = {
+    runner_headers = {
         "Content-Type": "application/json",
         headers.PRIORITY: str(caller.priority),
     }
     if headers.RESUMABLE in request.headers:
-        sent[headers.RESUMABLE] = "1"
-    return sent
+        runner_headers[headers.RESUMABLE] = "1"
+    return runner_headers
 
 
-def _place_of(caller: CallerRequest, chat: ChatBody, chat_id: str) -> ChatScope:
+def _chat_scope(caller: CallerRequest, chat: ChatBody, chat_id: str) -> ChatScope:
     key = chat_key(
         team=caller.team_path,
         model=chat.model,
         chat_id=chat_id,
-        prompt=_prompt_text(chat),
+        prompt=_join_prompt(chat),
     )
     return ChatScope(caller.team_path, chat.model, key)
 
 
-def _parse(body: bytes) -> ChatBody:
+def _parse_chat(body: bytes) -> ChatBody:
     try:
         return _decoder.decode(body)
     except msgspec.DecodeError as error:
@@ -137,6 +140,6 @@
         ) from error
 
 
-def _prompt_text(chat: ChatBody) -> str:
+def _join_prompt(chat: ChatBody) -> str:
     texts = [m.content for m in chat.messages if isinstance(m.content, str)]
     return "\n".join(texts)
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/decision_ring.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/decision_ring.py
@@ -1,4 +1,4 @@
-"""The last routing decisions of this node, for ``explain``."""
+"""The latest routing decisions of this node, for ``explain``."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from clementineyoke_wire.events import Event, log_event
 
-MOST_DECISIONS = 2_000
+MAX_DECISIONS = 2_000
 
 
 class Decision(TypedDict):
-    """One decision as operators see it."""
+    """One decision as shown to operators."""
 
     event: str
     request_id: str
@@ -21,35 +21,35 @@
 
 
 class DecisionRing:
-    """Log each decision and keep the last ones.
+    """Log each decision and retain the latest ones.
 
-    They are kept as the bytes of JSON: 2,000 of them take 0.5 MB so, and 1.2 MB as
-    objects, of a node's 30.
+    Decisions are stored as encoded JSON: 2,000 of them take 0.5 MB, and 1.2 MB as
+    objects. A node uses about 30 MB in all.
     """
 
     def __init__(self) -> None:
-        self._lines: deque[bytes] = deque(maxlen=MOST_DECISIONS)
+        self._encoded_decisions: deque[bytes] = deque(maxlen=MAX_DECISIONS)
 
     def record(self, event: Event, *, request_id: str, **fields: Any) -> None:
-        """Log and keep a decision."""
+        """Log and store a decision."""
         log_event(event, request_id=request_id, **fields)
         decision = Decision(
             event=event.name.lower(), request_id=request_id, fields=fields
         )
-        self._lines.append(msgspec.json.encode(decision, enc_hook=repr))
-
-    def find(self, text: str) -> list[Decision]:
-        """Return the decisions of a request id, a chat id or a mark, oldest first."""
-        wanted = msgspec.json.encode(text)
-        held = [
-            msgspec.json.decode(line, type=Decision)
-            for line in self._lines
-            if wanted in line
+        self._encoded_decisions.append(msgspec.json.encode(decision, enc_hook=repr))
+
+    def find(self, identifier: str) -> list[Decision]:
+        """Return the decisions for a request id, chat id or digest, oldest first."""
+        encoded = msgspec.json.encode(identifier)
+        candidates = [
+            msgspec.json.decode(encoded_decision, type=Decision)
+            for encoded_decision in self._encoded_decisions
+            if encoded in encoded_decision
         ]
         return [
             decision
-            for decision in held
-            if text
+            for decision in candidates
+            if identifier
             in (
                 decision["request_id"],
                 decision["fields"].get("chat"),
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
@@ -1,4 +1,4 @@
-"""Route one call: a slot, an exchange, and what to do when it fails."""
+"""Routes one call: acquires a slot, sends the call and retries after failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_core.retry_budget import RetryBudget
-from clementineyoke_node.callers.answer_relay import has_length
+from clementineyoke_node.callers.answer_relay import is_framed
 from clementineyoke_node.runners.runner_client import RunnerCall
 from clementineyoke_node.runners.runner_error import RunnerError
 from clementineyoke_node.slots.slot_request import SlotRequest
@@ -30,13 +30,13 @@
     from clementineyoke_node.slots.slot_lease import SlotLease
     from clementineyoke_node.timers.timer_service import TimerService
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 RETRY_AFTER_MS = 500
-STATUS_UNAVAILABLE = 503
+STATUS_SERVICE_UNAVAILABLE = 503
 
 
 class RoutedCall(NamedTuple):
-    """What to send where, and by which key to find the runner."""
+    """A call to be sent, its pool and the key that determines the order of runners."""
 
     caller: CallerRequest
     pool: str
@@ -52,7 +52,7 @@
 
 
 class Dispatcher:
-    """Try runners in the key's order until one has begun the call."""
+    """Try runners in the order of the call's key until one accepts the call."""
 
     def __init__(
         self,
@@ -68,60 +68,63 @@
         self._table = table
         self._timers = timers
         self._decisions = decisions
-        self._retries = RetryBudget()
+        self._retry_budget = RetryBudget()
 
     @asynccontextmanager
     async def exchange(
         self, call: RoutedCall
     ) -> AsyncIterator[tuple[Runner, aiohttp.ClientResponse]]:
-        """Yield the runner and its answer's head; the slot is held meanwhile.
+        """Yield the runner and its response; the slot is held until the context ends.
 
-        Raises ``RequestError``. A call that may have begun is sent again only if it is
-        idempotent.
+        Raises ``RequestError``. A call that may have been executed is sent again only
+        if it is idempotent.
         """
-        self._retries.deposit()
+        self._retry_budget.deposit()
         tried: list[str] = []
-        unsure: RunnerError | None = None
+        uncertain_error: RunnerError | None = None
         while True:
             try:
                 runner_call = self._to_runner_call(call)
                 lease = await self._acquire(call, tried)
             except RequestError as error:
-                raise _as_unknown(error, unsure) from error
+                raise _with_unknown_outcome(error, uncertain_error) from error
             tried.append(lease.runner.runner_id)
             with self._broker.holding(lease):
-                begun = False
+                response_accepted = False
                 try:
                     async with self._client.exchange(
                         lease.runner, runner_call
-                    ) as answer:
-                        self._check_head(lease.runner, answer)
-                        begun = True
+                    ) as runner_response:
+                        self._check_head(lease.runner, runner_response)
+                        response_accepted = True
                         self._table.record_success(lease.runner.runner_id)
-                        yield lease.runner, answer
+                        yield lease.runner, runner_response
                         return
                 except RunnerError as error:
-                    if begun:
+                    if response_accepted:
                         raise
                     self._record_failure(call, error)
                     if error.may_have_run:
-                        unsure = error
-                    self._raise_if_final(
-                        call, error, unsure=unsure, attempts=len(tried)
+                        uncertain_error = error
+                    self._raise_unless_retriable(
+                        call,
+                        error,
+                        uncertain_error=uncertain_error,
+                        attempts=len(tried),
                     )
 
     async def _acquire(self, call: RoutedCall, tried: list[str]) -> SlotLease:
-        left_ms = call.caller.deadline_ms - self._timers.now_ms()
-        wish = SlotRequest(
+        remaining_ms = call.caller.deadline_ms - self._timers.now_ms()
+        slot_request = SlotRequest(
             pool=call.pool,
             key=call.key,
             team=hash_text(call.caller.team_path),
             priority=call.caller.priority,
-            wait_ms=max(0, min(call.caller.queue_ms, int(left_ms))),
+            wait_ms=max(0, min(call.caller.queue_ms, int(remaining_ms))),
             tried=tried,
             preferred=call.preferred,
         )
-        lease = await self._broker.acquire(wish)
+        lease = await self._broker.acquire(slot_request)
         if lease is None:
             raise RequestError(
                 status=503,
@@ -144,8 +147,8 @@
         return lease
 
     def _to_runner_call(self, call: RoutedCall) -> RunnerCall:
-        left_ms = call.caller.deadline_ms - self._timers.now_ms()
-        if left_ms <= 0:
+        remaining_ms = call.caller.deadline_ms - self._timers.now_ms()
+        if remaining_ms <= 0:
             raise RequestError(
                 status=504,
                 outcome=Outcome.NOT_RUN,
@@ -158,22 +161,24 @@
             headers=call.headers,
             body=call.body,
             request_id=call.caller.request_id,
-            timeout_ms=left_ms,
+            timeout_ms=remaining_ms,
             is_idempotent=call.is_idempotent,
         )
 
-    def _check_head(self, runner: Runner, answer: aiohttp.ClientResponse) -> None:
-        if headers.DRAINING in answer.headers:
+    def _check_head(
+        self, runner: Runner, runner_response: aiohttp.ClientResponse
+    ) -> None:
+        if headers.DRAINING in runner_response.headers:
             now_ms = self._timers.now_ms()
             self._table.record_draining(runner.runner_id, now_ms=now_ms)
-            if answer.status == STATUS_UNAVAILABLE:
+            if runner_response.status == STATUS_SERVICE_UNAVAILABLE:
                 raise RunnerError(
                     step="read_head",
                     peer=runner.runner_id,
                     reason="the runner is leaving and did not take the call",
                     may_have_run=False,
                 )
-        if not has_length(answer):
+        if not is_framed(runner_response):
             raise RunnerError(
                 step="read_head",
                 peer=runner.runner_id,
@@ -182,8 +187,8 @@
             )
 
     def _record_failure(self, call: RoutedCall, error: RunnerError) -> None:
-        # Paper, section 2: a failure before the request began is about the runner,
-        # not about the request, so it takes the runner out until it proves itself.
+        # A failure before the request was sent is a fault of the runner, not of the
+        # request, so the runner is quarantined until a probe finds it ready.
         if not error.may_have_run:
             self._table.record_transport_failure(
                 error.peer, now_ms=self._timers.now_ms()
@@ -198,22 +203,22 @@
             may_have_run=error.may_have_run,
         )
 
-    def _raise_if_final(
+    def _raise_unless_retriable(
         self,
         call: RoutedCall,
         error: RunnerError,
         *,
-        unsure: RunnerError | None,
+        uncertain_error: RunnerError | None,
         attempts: int,
     ) -> None:
-        may_repeat = call.is_idempotent or not error.may_have_run
-        out_of_time = call.caller.deadline_ms <= self._timers.now_ms()
-        wants_retry = may_repeat and attempts < MOST_ATTEMPTS and not out_of_time
-        if wants_retry and self._retries.try_spend():
+        may_resend = call.is_idempotent or not error.may_have_run
+        deadline_passed = call.caller.deadline_ms <= self._timers.now_ms()
+        is_retriable = may_resend and attempts < MAX_ATTEMPTS and not deadline_passed
+        if is_retriable and self._retry_budget.try_spend():
             return
-        outcome = Outcome.NOT_RUN if unsure is None else Outcome.UNKNOWN
+        outcome = Outcome.NOT_RUN if uncertain_error is None else Outcome.UNKNOWN
         raise RequestError(
-            status=504 if out_of_time else 502,
+            status=504 if deadline_passed else 502,
             outcome=outcome,
             step=error.step,
             peer=error.peer,
@@ -222,20 +227,22 @@
         ) from error
 
 
-def _as_unknown(error: RequestError, unsure: RunnerError | None) -> RequestError:
-    """Return the error as it may be told after an attempt that may have run.
+def _with_unknown_outcome(
+    error: RequestError, uncertain_error: RunnerError | None
+) -> RequestError:
+    """Return the error with the outcome "unknown" if an earlier attempt may have run.
 
-    A retry that gets no slot did not run, but the attempt before it may have: telling
-    the caller "not run" of the request as a whole would be false.
+    A retry that gets no slot did not run, but the attempt before it may have run: the
+    outcome "not run" would be wrong for the request as a whole.
     """
-    if unsure is None:
+    if uncertain_error is None:
         return error
     return RequestError(
         status=error.status,
         outcome=Outcome.UNKNOWN,
-        step=unsure.step,
-        peer=unsure.peer,
-        reason=f"{unsure.reason}; then {error.step}: {error.reason}",
+        step=uncertain_error.step,
+        peer=uncertain_error.peer,
+        reason=f"{uncertain_error.reason}; then {error.step}: {error.reason}",
         retry_after_ms=error.retry_after_ms,
         chat_id=error.chat_id,
     )
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/error_answers.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/error_answers.py
@@ -1,4 +1,4 @@
-"""Turn errors into the JSON answers that callers get."""
+"""Converts errors to the JSON responses that callers receive."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 MS_PER_S = 1000
 
 
-def to_answer(error: RequestError, *, request_id: str) -> web.Response:
-    """Return the answer for an error; its outcome also stands in a header."""
+def to_response(error: RequestError, *, request_id: str) -> web.Response:
+    """Return the response for an error; a header repeats its outcome."""
     body = ErrorBody(
         outcome=error.outcome.value,
         step=error.step,
@@ -25,11 +25,13 @@
         request_id=request_id,
         reason=error.reason,
     )
-    answer_headers = {
+    response_headers = {
         headers.REQUEST_ID: request_id,
         headers.OUTCOME: error.outcome.value,
     }
     if error.retry_after_ms is not None:
         body["retry_after_ms"] = error.retry_after_ms
-        answer_headers["Retry-After"] = str(math.ceil(error.retry_after_ms / MS_PER_S))
-    return web.json_response(body, status=error.status, headers=answer_headers)
+        response_headers["Retry-After"] = str(
+            math.ceil(error.retry_after_ms / MS_PER_S)
+        )
+    return web.json_response(body, status=error.status, headers=response_headers)
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
@@ -1,4 +1,4 @@
-"""What every caller's request passes first and last, whatever it asks for."""
+"""The wrapper around all handlers for callers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.error_answers import to_answer
+from clementineyoke_node.callers.error_answers import to_response
 from clementineyoke_node.callers.truncated_answer_error import TruncatedAnswerError
 from clementineyoke_wire.events import Event
 
@@ -25,11 +25,11 @@
 
     Handler = Callable[[web.Request, CallerRequest], Awaitable[web.StreamResponse]]
 
-BUSY_RETRY_MS = 1_000
+BUSY_RETRY_AFTER_MS = 1_000
 
 
 class Gate:
-    """Identify, count and limit a request; answer for its errors."""
+    """Authenticate, count and rate-limit requests, and respond to their errors."""
 
     def __init__(
         self,
@@ -48,31 +48,31 @@
         self._decisions = decisions
         self._on_outcome = on_outcome
         self.is_leaving = False
-        """Set while the node drains: kept connections are then told to close."""
+        """Set while the node drains: responses then close keep-alive connections."""
 
     def guard(
         self, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-        """Wrap a handler for callers."""
+        """Return the handler with authentication, limits and error responses."""
 
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = uuid.uuid4().hex
-            began_ms = self._timers.now_ms()
+            received_ms = self._timers.now_ms()
             with self._in_flight.one():
-                outcome, answer = await self._answer(request, request_id, handler)
-            if self.is_leaving and not answer.prepared:
-                answer.force_close()
-            self._on_outcome(outcome, self._timers.now_ms() - began_ms)
-            return answer
+                outcome, response = await self._respond(request, request_id, handler)
+            if self.is_leaving and not response.prepared:
+                response.force_close()
+            self._on_outcome(outcome, self._timers.now_ms() - received_ms)
+            return response
 
         return guarded
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, request_id: str, handler: Handler
     ) -> tuple[str, web.StreamResponse]:
         try:
             caller = await self._admit(request, request_id)
-            answer = await handler(request, caller)
+            response = await handler(request, caller)
         except RequestError as error:
             self._decisions.record(
                 Event.ROUTE_REFUSED,
@@ -83,16 +83,16 @@
                 outcome=error.outcome.value,
                 reason=error.reason,
             )
-            return error.outcome.value, to_answer(error, request_id=request_id)
+            return error.outcome.value, to_response(error, request_id=request_id)
         except TruncatedAnswerError as error:
             self._abort(request, request_id, error)
-            # The caller must see the break; there is nothing left to answer with.
+            # The status was sent already; only an aborted connection shows the fault.
             raise ConnectionAbortedError(str(error)) from error
         except ConnectionError:
             self._decisions.record(Event.CALLER_GONE, request_id=request_id)
             raise
         self._decisions.record(Event.ANSWERED, request_id=request_id)
-        return Outcome.RAN.value, answer
+        return Outcome.RAN.value, response
 
     async def _admit(self, request: web.Request, request_id: str) -> CallerRequest:
         if self._in_flight.is_full:
@@ -101,7 +101,7 @@
                 outcome=Outcome.NOT_RUN,
                 step="admit",
                 reason="this node has as many requests as it may hold",
-                retry_after_ms=BUSY_RETRY_MS,
+                retry_after_ms=BUSY_RETRY_AFTER_MS,
             )
         caller = self._authenticator.identify(
             request, request_id=request_id, now_ms=self._timers.now_ms()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/in_flight.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests that this node has begun and not ended."""
+"""Counts the requests in flight on this node."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class InFlight:
-    """Count requests, so that a stop can wait for the last one."""
+    """Count requests so that a shutdown can wait for the last one."""
 
-    def __init__(self, *, most: int) -> None:
-        self._most = most
+    def __init__(self, *, max_requests: int) -> None:
+        self._max_requests = max_requests
         self._count = 0
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def count(self) -> int:
-        """Requests now in flight."""
+        """Number of requests in flight."""
         return self._count
 
     @property
     def is_full(self) -> bool:
-        """Whether one more would be over the bound."""
-        return self._count >= self._most
+        """Whether the maximum number of requests is in flight."""
+        return self._count >= self._max_requests
 
     @contextmanager
     def one(self) -> Iterator[None]:
-        """Count one request while it lasts."""
+        """Count one request until the context ends."""
         self._count += 1
         self._idle.clear()
         try:
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
@@ -1,4 +1,4 @@
-"""Taking up a stream that broke: ``GET /v1/streams``."""
+"""Resumes streams after a lost connection: ``GET /v1/streams``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.answer_relay import relay_answer
+from clementineyoke_node.callers.answer_relay import relay_response
 from clementineyoke_node.runners.runner_client import RunnerCall
 from clementineyoke_node.runners.runner_error import RunnerError
 from clementineyoke_wire import headers
@@ -29,10 +29,10 @@
 
 
 class ResumeHandler:
-    """Send the rest of a stream, from the byte that the caller names.
+    """Send the rest of a stream from the offset that the caller requests.
 
-    The work is on the runner already, so its slot is adopted, not asked for: a
-    refusal would not make the load any smaller.
+    The work already runs on the runner, so its slot is adopted without asking the home
+    node: a refusal would not reduce the load.
     """
 
     def __init__(
@@ -55,64 +55,66 @@
     async def handle(
         self, request: web.Request, caller: CallerRequest
     ) -> web.StreamResponse:
-        """Stream the rest; ``?after=`` counts the body's bytes that have arrived."""
-        place = self._find_place(request, caller)
-        runner = self._find_runner(place)
+        """Stream the rest; ``?after=`` is the number of body bytes already received."""
+        location = self._read_location(request, caller)
+        runner = self._find_runner(location)
         call = RunnerCall(
             method="GET",
-            path=f"{STREAMS_PATH}/{place.request_id}?after={_read_after(request)}",
+            path=f"{STREAMS_PATH}/{location.request_id}?after={_parse_offset(request)}",
             headers={},
             body=b"",
-            request_id=place.request_id,
+            request_id=location.request_id,
             timeout_ms=caller.deadline_ms - self._timers.now_ms(),
             is_idempotent=True,
         )
         self._decisions.record(
             Event.ROUTED,
             request_id=caller.request_id,
-            resumes=place.request_id,
+            resumes=location.request_id,
             runner=runner.runner_id,
             reason="resume",
         )
         try:
             return await self._relay(request, runner, call)
         except RunnerError as error:
-            raise _lost(error.peer, error.reason) from error
+            raise _stream_lost(error.peer, error.reason) from error
 
     async def _relay(
         self, request: web.Request, runner: Runner, call: RunnerCall
     ) -> web.StreamResponse:
         lease = self._broker.adopt(runner)
         with self._broker.holding(lease):
-            async with self._client.exchange(runner, call) as answer:
-                if answer.status != STATUS_OK:
-                    raise _lost(runner.runner_id, "the runner no longer holds it")
-                return await relay_answer(
-                    request, answer, runner=runner, request_id=call.request_id
+            async with self._client.exchange(runner, call) as runner_response:
+                if runner_response.status != STATUS_OK:
+                    raise _stream_lost(
+                        runner.runner_id, "the runner no longer holds it"
+                    )
+                return await relay_response(
+                    request, runner_response, runner=runner, request_id=call.request_id
                 )
 
-    def _find_place(
+    def _read_location(
         self, request: web.Request, caller: CallerRequest
     ) -> StreamLocation:
         token = request.headers.get(headers.RESUME, "")
-        place = self._tokens.read(caller.team_path, token)
-        if place is None:
+        location = self._tokens.read(caller.team_path, token)
+        if location is None:
             raise RequestError(
                 status=403,
                 outcome=Outcome.NOT_RUN,
                 step="read_resume",
                 reason=f"{headers.RESUME} is missing or not this team's",
             )
-        return place
+        return location
 
-    def _find_runner(self, place: StreamLocation) -> Runner:
-        entry = self._table.get(place.runner_id)
+    def _find_runner(self, location: StreamLocation) -> Runner:
+        entry = self._table.get(location.runner_id)
         if entry is None:
-            raise _lost(place.runner_id, "the runner is gone")
+            raise _stream_lost(location.runner_id, "the runner is gone")
         return entry.runner
 
 
-def _read_after(request: web.Request) -> int:
+def _parse_offset(request: web.Request) -> int:
     text = request.query.get("after", "0")
     if not text.isdecimal():
         raise RequestError(
@@ -124,7 +126,7 @@
     return int(text)
 
 
-def _lost(peer: str, reason: str) -> RequestError:
+def _stream_lost(peer: str, reason: str) -> RequestError:
     return RequestError(
         status=410,
         outcome=Outcome.UNKNOWN,
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
@@ -1,4 +1,4 @@
-"""Plain services: any method and path under ``/v1/services/<service>/``."""
+"""Calls to plain services: all methods and paths under ``/v1/services/<service>/``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.answer_relay import relay_answer
+from clementineyoke_node.callers.answer_relay import relay_response
 from clementineyoke_node.callers.body_reader import read_body
 from clementineyoke_node.callers.dispatcher import RoutedCall
 from clementineyoke_wire import headers
@@ -24,16 +24,16 @@
     from clementineyoke_node.callers.dispatcher import Dispatcher
     from clementineyoke_node.claims.claim_client import Claim, ClaimClient
 
-CLAIM_RETRY_MS = 1_000
-LONGEST_KEY = 200
-PREFIX_PARTS = 4
-"""Slashes in /v1/services/<service>/ before the runner's own path."""
-LARGEST_ANSWER_BYTES = 4_000_000
-_PASSED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
+CLAIM_RETRY_AFTER_MS = 1_000
+MAX_KEY_CHARACTERS = 200
+PREFIX_SLASHES = 4
+"""Slashes in /v1/services/<service>/, before the path on the runner."""
+MAX_RESPONSE_BYTES = 4_000_000
+_FORWARDED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
 
 
 class ServiceHandler:
-    """Route plain calls; run non-idempotent ones at most once."""
+    """Route calls to plain services; run non-idempotent calls at most once."""
 
     def __init__(
         self,
@@ -45,37 +45,41 @@
         self._authenticator = authenticator
         self._dispatcher = dispatcher
         self._claims = claims
-        self._runs: set[asyncio.Task[web.Response]] = set()
+        self._run_tasks: set[asyncio.Task[web.Response]] = set()
 
     async def handle(
         self, request: web.Request, caller: CallerRequest
     ) -> web.StreamResponse:
-        """Answer a plain call."""
+        """Return the response to a call to a plain service."""
         service = request.match_info["service"]
-        caller = self._authenticator.admit_to_pool(
+        caller = self._authenticator.authorize_pool(
             request, caller, field="services", pool=service
         )
         key = _read_key(request)
         is_idempotent = key is None and headers.NON_IDEMPOTENT not in request.headers
         call = await _to_call(request, caller, service, is_idempotent)
         if is_idempotent:
-            async with self._dispatcher.exchange(call) as (runner, answer):
-                return await relay_answer(
-                    request, answer, runner=runner, request_id=caller.request_id
+            async with self._dispatcher.exchange(call) as (runner, runner_response):
+                return await relay_response(
+                    request,
+                    runner_response,
+                    runner=runner,
+                    request_id=caller.request_id,
                 )
         run = asyncio.create_task(self._run(call, key))
-        self._runs.add(run)
-        run.add_done_callback(self._runs.discard)
-        # A caller that goes away must not cut a run: its repeat wants the answer.
+        self._run_tasks.add(run)
+        run.add_done_callback(self._run_tasks.discard)
+        # A caller that disconnects must not cancel the run: a repeated call needs its
+        # response.
         return await asyncio.shield(run)
 
-    async def finish_runs(self) -> None:
-        """Wait for the runs whose callers went away."""
-        await asyncio.gather(*self._runs, return_exceptions=True)
+    async def wait_for_runs(self) -> None:
+        """Wait for the runs whose callers have disconnected."""
+        await asyncio.gather(*self._run_tasks, return_exceptions=True)
 
     async def _run(self, call: RoutedCall, key: str | None) -> web.Response:
         if key is None:
-            return await self._send_once(call)
+            return await self._send(call)
         claim = self._claims.make_claim(
             scope=f"{call.caller.team_path}\0{call.pool}",
             key=key,
@@ -83,31 +87,33 @@
         )
         decision = await self._claims.acquire(claim)
         if decision.verdict is not ClaimVerdict.GRANTED:
-            return _answer_without_run(decision, call.caller.request_id)
+            return _respond_without_run(decision, call.caller.request_id)
         return await self._run_claimed(call, claim)
 
     async def _run_claimed(self, call: RoutedCall, claim: Claim) -> web.Response:
         try:
-            response = await self._send_once(call)
+            response = await self._send(call)
         except RequestError as error:
-            # Only a request that surely did not run gives its key free again.
+            # The key may be used again only if the request certainly did not run.
             if error.outcome is Outcome.NOT_RUN:
                 self._claims.report(claim, ran=False)
             raise
-        answer = StoredAnswer(
+        stored_answer = StoredAnswer(
             response.status, response.content_type, _body_of(response)
         )
-        self._claims.report(claim, ran=True, answer=answer)
+        self._claims.report(claim, ran=True, answer=stored_answer)
         return response
 
-    async def _send_once(self, call: RoutedCall) -> web.Response:
-        async with self._dispatcher.exchange(call) as (runner, answer):
-            body = await _read_whole(runner.runner_id, answer)
+    async def _send(self, call: RoutedCall) -> web.Response:
+        async with self._dispatcher.exchange(call) as (runner, runner_response):
+            body = await _read_response_body(runner.runner_id, runner_response)
         return web.Response(
-            status=answer.status,
+            status=runner_response.status,
             body=body,
             headers={
-                "Content-Type": answer.headers.get("Content-Type", "text/plain"),
+                "Content-Type": runner_response.headers.get(
+                    "Content-Type", "text/plain"
+                ),
                 headers.REQUEST_ID: call.caller.request_id,
                 headers.OUTCOME: Outcome.RAN.value,
                 headers.RUNNER: runner.runner_id,
@@ -115,19 +121,21 @@
         )
 
 
-async def _read_whole(runner_id: str, answer: aiohttp.ClientResponse) -> bytes:
+async def _read_response_body(
+    runner_id: str, runner_response: aiohttp.ClientResponse
+) -> bytes:
     body = bytearray()
     try:
-        async for chunk in answer.content.iter_any():
+        async for chunk in runner_response.content.iter_any():
             body += chunk
-            if len(body) > LARGEST_ANSWER_BYTES:
-                raise _unknown(runner_id, "the answer is too large to hold")
+            if len(body) > MAX_RESPONSE_BYTES:
+                raise _outcome_unknown(runner_id, "the answer is too large to hold")
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
-        raise _unknown(runner_id, repr(error)) from error
+        raise _outcome_unknown(runner_id, repr(error)) from error
     return bytes(body)
 
 
-def _answer_without_run(decision: ClaimDecision, request_id: str) -> web.Response:
+def _respond_without_run(decision: ClaimDecision, request_id: str) -> web.Response:
     if decision.verdict is ClaimVerdict.ANSWERED and decision.answer is not None:
         return web.Response(
             status=decision.answer.status,
@@ -139,10 +147,10 @@
                 headers.REPEATED: "1",
             },
         )
-    raise _refusal(decision.verdict)
+    raise _claim_refused(decision.verdict)
 
 
-def _refusal(verdict: ClaimVerdict) -> RequestError:
+def _claim_refused(verdict: ClaimVerdict) -> RequestError:
     if verdict is ClaimVerdict.ANSWERED:
         return _claim_error(409, Outcome.RAN, "it ran; its answer was not kept")
     if verdict is ClaimVerdict.UNKNOWN:
@@ -151,7 +159,7 @@
         reason = "the key was used for another request"
         return _claim_error(422, Outcome.NOT_RUN, reason)
     return _claim_error(
-        503, Outcome.NOT_RUN, "the claim store did not answer", CLAIM_RETRY_MS
+        503, Outcome.NOT_RUN, "the claim store did not answer", CLAIM_RETRY_AFTER_MS
     )
 
 
@@ -167,7 +175,7 @@
     )
 
 
-def _unknown(runner_id: str, reason: str) -> RequestError:
+def _outcome_unknown(runner_id: str, reason: str) -> RequestError:
     return RequestError(
         status=502,
         outcome=Outcome.UNKNOWN,
@@ -184,12 +192,13 @@
 
 def _read_key(request: web.Request) -> str | None:
     key = request.headers.get(headers.IDEMPOTENCY_KEY)
-    if key is not None and not 0 < len(key) <= LONGEST_KEY:
+    if key is not None and not 0 < len(key) <= MAX_KEY_CHARACTERS:
         raise RequestError(
             status=400,
             outcome=Outcome.NOT_RUN,
             step="read_headers",
-            reason=f"{headers.IDEMPOTENCY_KEY} must have 1 to {LONGEST_KEY} characters",
+            reason=f"{headers.IDEMPOTENCY_KEY} must have 1 to "
+            f"{MAX_KEY_CHARACTERS} characters",
         )
     return key
 
@@ -198,13 +207,14 @@
     request: web.Request, caller: CallerRequest, service: str, is_idempotent: bool
 ) -> RoutedCall:
     body = await read_body(request)
-    # As it came: decoded and encoded anew, an encoded slash would change the path.
-    path = "/" + request.rel_url.raw_path.split("/", PREFIX_PARTS)[PREFIX_PARTS]
+    # The raw path: decoding and re-encoding would turn an encoded slash into a
+    # separator.
+    path = "/" + request.rel_url.raw_path.split("/", PREFIX_SLASHES)[PREFIX_SLASHES]
     if request.rel_url.raw_query_string:
         path = f"{path}?{request.rel_url.raw_query_string}"
-    passed = {
+    forwarded = {
         name: request.headers[name]
-        for name in _PASSED_HEADERS
+        for name in _FORWARDED_HEADERS
         if name in request.headers
     }
     return RoutedCall(
@@ -214,7 +224,7 @@
         chat_id="",
         method=request.method,
         path=path,
-        headers=passed,
+        headers=forwarded,
         body=body,
         is_idempotent=is_idempotent,
     )
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/truncated_answer_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/truncated_answer_error.py
@@ -1,10 +1,10 @@
-"""An answer that broke off after the caller had been sent a part of it."""
+"""The error for a response that ended early after a part of it had been relayed."""
 
 from __future__ import annotations
 
 
 class TruncatedAnswerError(Exception):
-    """Say at which step which runner's answer broke off."""
+    """A runner's response was truncated; carries step, runner and reason."""
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
         super().__init__(f"{step} {peer}: {reason}")
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
@@ -91,7 +91,7 @@
         admin = AdminApi(
             key_hashes=self.config.admin_key_hashes,
             seal=state.seal,
-            keeper=io.keeper,
+            settings=io.keeper,
             writer=writer,
             decisions=state.decisions,
             metrics=state.metrics,
@@ -135,7 +135,7 @@
 
     async def _wait_idle(self) -> None:
         await self.state.in_flight.wait_idle()
-        await self._callers.finish_runs()
+        await self._callers.wait_for_runs()
 
     async def _flush_reports(self) -> None:
         # A report that is never written leaves its key at "unknown", which is safe;
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -70,7 +70,7 @@
         self.seal = Seal(keys=config.peer_keys)
         self.decisions = DecisionRing()
         self.metrics = Metrics()
-        self.in_flight = InFlight(most=config.max_requests)
+        self.in_flight = InFlight(max_requests=config.max_requests)
         self._watchers = choose_watchers(self.membership.alive())
         """Worked out anew when hosts change: at 410 nodes it takes 0.25 ms, and it is
         asked for some forty times a second."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/__init__.py
@@ -1,6 +1,7 @@
-"""The users' platform: its names, formats and calls. Nothing here decides anything.
+"""Names, formats and calls of the users' platform; no routing decisions.
 
-No other package knows these names; they are decoded here, once, into the core's types.
+No other package uses the platform's formats: they are decoded here to types of the
+core.
 """
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded from the platform's headers."""
+"""Decodes a caller's request from the platform's headers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     from multidict import CIMultiDictProxy
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -29,10 +29,13 @@
         "content-length",
     )
 )
-"""What concerns one connection only; the length is set anew for the next one."""
-LINE_BYTES = len(": \r\n")
-FIRST_LINE_BYTES = len("  HTTP/1.1\r\n\r\n")
-_SINGLE = (names.CALL_ID, names.TIME_LEFT_MS, names.AUTHORIZATION, "Host")
+"""Headers that apply to one connection only.
+
+The content length is set again for the connection to the runner.
+"""
+HEADER_LINE_OVERHEAD_BYTES = len(": \r\n")
+REQUEST_LINE_OVERHEAD_BYTES = len("  HTTP/1.1\r\n\r\n")
+_SINGLE_VALUE_HEADERS = (names.CALL_ID, names.TIME_LEFT_MS, names.AUTHORIZATION, "Host")
 
 
 def decode_call(
@@ -42,8 +45,11 @@
     fields: CIMultiDictProxy[str],
     body: bytes,
 ) -> EdgeCall:
-    """Decode a request's head; raises ``FormatError`` on one that has two meanings."""
-    _check_single(fields)
+    """Decode a request; raises ``FormatError`` for a malformed or ambiguous head.
+
+    A head is ambiguous if a header that must be unique occurs twice.
+    """
+    _check_single_values(fields)
     call_id = fields.get(names.CALL_ID, "")
     if not call_id or not target.startswith("/"):
         raise FormatError(step="decode_call", peer="caller", reason="no id or no path")
@@ -54,8 +60,8 @@
         target=target,
         path=target.partition("?")[0],
         hostname=fields.get("Host", "").partition(":")[0],
-        passed_headers=_passed(fields),
-        head_bytes=_head_bytes(method, target, fields),
+        passed_headers=_forwarded_headers(fields),
+        head_bytes=_count_head_bytes(method, target, fields),
         body=body,
         key=_decode_key(fields.get(names.AUTHORIZATION)),
         budget_ms=_decode_budget(fields.get(names.TIME_LEFT_MS)),
@@ -65,37 +71,40 @@
     )
 
 
-def end_to_end(fields: Sequence[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that do not concern one connection only."""
-    named = {
-        token.strip().lower()
+def remove_hop_by_hop(fields: Sequence[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the headers without those that apply to one connection only."""
+    connection_options = {
+        option.strip().lower()
         for name, value in fields
         if name.lower() == "connection"
-        for token in value.split(",")
+        for option in value.split(",")
     }
-    dropped = CONNECTION_HEADERS | named
-    return [(name, value) for name, value in fields if name.lower() not in dropped]
+    removed = HOP_BY_HOP_HEADERS | connection_options
+    return [(name, value) for name, value in fields if name.lower() not in removed]
 
 
-def _check_single(fields: CIMultiDictProxy[str]) -> None:
-    for name in _SINGLE:
+def _check_single_values(fields: CIMultiDictProxy[str]) -> None:
+    for name in _SINGLE_VALUE_HEADERS:
         if len(fields.getall(name, [])) > 1:
-            # Two nodes could each believe another one of the two.
+            # Two nodes could each use a different one of the values.
             raise FormatError(
                 step="decode_call", peer="caller", reason=f"{name} stands twice"
             )
 
 
-def _head_bytes(method: str, target: str, fields: CIMultiDictProxy[str]) -> int:
-    lines = sum(len(name) + len(value) + LINE_BYTES for name, value in fields.items())
-    return len(method) + len(target) + FIRST_LINE_BYTES + lines
+def _count_head_bytes(method: str, target: str, fields: CIMultiDictProxy[str]) -> int:
+    lines = sum(
+        len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
+        for name, value in fields.items()
+    )
+    return len(method) + len(target) + REQUEST_LINE_OVERHEAD_BYTES + lines
 
 
-def _passed(fields: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(fields: CIMultiDictProxy[str]) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, value)
-        for name, value in end_to_end(list(fields.items()))
-        if name.lower() not in names.ONLY_OURS
+        for name, value in remove_hop_by_hop(list(fields.items()))
+        if name.lower() not in names.RESERVED_HEADERS
     )
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
@@ -1,4 +1,4 @@
-"""Entries of runners and of nodes in the store."""
+"""Encodes and decodes the store's entries for runners, nodes and crashes."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     from clementineyoke_core.edge.crash_records import CrashRecord
     from clementineyoke_node.platform.store_page import StoredEntry
 
-LEAVING = "draining"
-MOST_COLD_MS = 600_000.0
-"""Longer than any start takes; a larger figure is another writer's."""
-MOST_SLOTS = 0xFFFF
-LAST_PORT = 0xFFFF
-MOST_COUNTED = 0xFFFF_FFFF
-LAST_MOMENT_MS = 0xFFFF_FFFF_FFFF
-"""What fits the messages between nodes."""
+STATE_DRAINING = "draining"
+MAX_COLD_MS = 600_000.0
+"""No start takes longer; a larger value is not from a runner."""
+MAX_SLOTS = 0xFFFF
+MAX_PORT = 0xFFFF
+MAX_UINT32 = 0xFFFF_FFFF
+MAX_TIMESTAMP_MS = 0xFFFF_FFFF_FFFF
+"""The range of the fields in messages between nodes."""
 
 
 class _RunnerSpec(msgspec.Struct, rename="camel"):
-    """A runner's entry, with every field that one has: fewer are not a runner's own."""
+    """A runner's entry; one that lacks a required field was not written by a runner."""
 
     service: str
     address: str
@@ -43,7 +43,7 @@
     seq: int
     models: list[Any] = []
     born: int = 0
-    """Not said by all runners."""
+    """Start time in Unix milliseconds; not set by all runners."""
 
 
 class _NodeSpec(msgspec.Struct, rename="camel"):
@@ -59,7 +59,7 @@
     crashes: int
     runners: list[str]
     ended_at: int
-    """When the last one ended, in Unix milliseconds."""
+    """Time of the latest crash, in Unix milliseconds."""
 
 
 _Spec = TypeVar("_Spec", _RunnerSpec, _NodeSpec, _CrashSpec)
@@ -68,14 +68,14 @@
 def decode_runner(entry: StoredEntry, *, region: str) -> RunnerRecord:
     """Decode a runner's entry; raises ``FormatError``.
 
-    Other writers can put entries there as well. One with fields missing or of another
-    type names nothing that a call could be sent to.
+    Other writers can create entries there as well. One with missing fields or fields of
+    another type does not describe a runner that a call could be sent to.
     """
     spec = _decode(entry, _RunnerSpec, step="decode_runner")
     try:
         address, port = split_address(spec.address)
-        _check_range(spec.slots, 1, MOST_SLOTS)
-        _check_range(spec.born, 0, LAST_MOMENT_MS)
+        _check_range(spec.slots, 1, MAX_SLOTS)
+        _check_range(spec.born, 0, MAX_TIMESTAMP_MS)
     except ValueError as error:
         raise FormatError(
             step="decode_runner", peer=entry.name, reason=str(error)
@@ -91,22 +91,22 @@
         slots=spec.slots,
         born_ms=spec.born,
     )
-    cold_ms = min(MOST_COLD_MS, max(0.0, spec.cold_remaining_ms))
-    return RunnerRecord(runner, spec.state == LEAVING, entry.revision, cold_ms)
+    cold_ms = min(MAX_COLD_MS, max(0.0, spec.cold_remaining_ms))
+    return RunnerRecord(runner, spec.state == STATE_DRAINING, entry.revision, cold_ms)
 
 
 def lifetime_of(entry: StoredEntry) -> int:
-    """Return when the runner of an entry that ended was born; 0 if it did not say."""
+    """Return the start time of a removed entry's runner; 0 if the entry has none."""
     try:
         born_ms = _decode(entry, _RunnerSpec, step="decode_runner").born
-        _check_range(born_ms, 0, LAST_MOMENT_MS)
+        _check_range(born_ms, 0, MAX_TIMESTAMP_MS)
     except (FormatError, ValueError):
-        return 0  # the end of what names no runner is told by its name alone
+        return 0  # an entry that cannot be decoded is identified by its name alone
     return born_ms
 
 
 def encode_node(node: Node) -> dict[str, Any]:
-    """Return a node's own entry."""
+    """Return a node's entry."""
     return {
         "address": node.address,
         "callerPort": node.caller_port,
@@ -122,8 +122,8 @@
     spec = _decode(entry, _NodeSpec, step="decode_node")
     try:
         IPv4Address(spec.address)
-        _check_range(spec.caller_port, 1, LAST_PORT)
-        _check_range(spec.peer_port, 1, LAST_PORT)
+        _check_range(spec.caller_port, 1, MAX_PORT)
+        _check_range(spec.peer_port, 1, MAX_PORT)
         _check_range(spec.calls_per_s, 0, MAX_CALLS_PER_S)
     except ValueError as error:
         raise FormatError(
@@ -141,7 +141,7 @@
 
 
 def encode_crash(record: CrashRecord, *, ended_at_ms: int) -> dict[str, Any]:
-    """Return the entry of a request under which runners have ended."""
+    """Return the entry of a request that has crashed runners."""
     return {
         "crashes": record.crashes,
         "runners": list(record.runners),
@@ -150,33 +150,36 @@
 
 
 def decode_crash(entry: StoredEntry, *, wall_ms: int) -> CrashNote:
-    """Decode such an entry, named by the request's mark; raises ``FormatError``."""
+    """Decode the entry of a request that has crashed runners; raises ``FormatError``.
+
+    The entry's name is the request's digest in hex.
+    """
     spec = _decode(entry, _CrashSpec, step="decode_crash")
     try:
         digest = bytes.fromhex(entry.name)
         _check_range(len(digest), DIGEST_BYTES, DIGEST_BYTES)
-        _check_range(spec.crashes, 1, MOST_COUNTED)
-        _check_range(spec.ended_at, 0, LAST_MOMENT_MS)
+        _check_range(spec.crashes, 1, MAX_UINT32)
+        _check_range(spec.ended_at, 0, MAX_TIMESTAMP_MS)
     except ValueError as error:
         raise FormatError(
             step="decode_crash", peer=entry.name, reason=str(error)
         ) from error
-    # The clock of who wrote it may be ahead of the one here.
-    age_ms = min(MOST_COUNTED, max(0, wall_ms - spec.ended_at))
+    # The clock of the node that wrote the entry may be ahead of this node's.
+    age_ms = min(MAX_UINT32, max(0, wall_ms - spec.ended_at))
     return CrashNote(digest, 0, spec.crashes, spec.runners[:MAX_NAMED_RUNNERS], age_ms)
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return IP number and port of an address; raises ``ValueError``."""
+    """Return the IP address and port of IP:PORT; raises ``ValueError``."""
     address, _, port_text = text.rpartition(":")
     port = int(port_text)
-    _check_range(port, 1, LAST_PORT)
+    _check_range(port, 1, MAX_PORT)
     return str(IPv4Address(address)), port
 
 
-def _check_range(value: int, least: int, most: int) -> None:
-    if not least <= value <= most:
-        message = f"{value} is not between {least} and {most}"
+def _check_range(value: int, min_value: int, max_value: int) -> None:
+    if not min_value <= value <= max_value:
+        message = f"{value} is not between {min_value} and {max_value}"
         raise ValueError(message)
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/format_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/format_error.py
@@ -1,4 +1,4 @@
-"""What the platform sent does not read as agreed."""
+"""The error for malformed messages and objects of the platform."""
 
 from __future__ import annotations
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/names.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/names.py
@@ -1,35 +1,35 @@
-"""The platform's names on the wire, spelled as it spells them."""
+"""Names of the platform's protocol, spelled as on the wire."""
 
 from __future__ import annotations
 
 SETTINGS_FILE_VARIABLE = "CLEMENTINEYOKE_NODE_FILE"
-"""Environment variable that holds the path of this node's settings."""
+"""Environment variable with the path of this node's settings file."""
 
 CALL_ID = "X-Attempt-Id"
-"""Names one try of a caller; a caller's second try has another one."""
+"""Id of one attempt of a caller; a retry by the caller has another id."""
 TIME_LEFT_MS = "X-Deadline-Ms"
-"""A duration from the arrival on, not a point in time, though its name says so."""
+"""Time left from the request's arrival; despite its name not a point in time."""
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Token "
 TEAM = "X-Tenant"
 EXPECTED_RUNNER = "X-Target-Instance"
-"""The id of the runner that is meant: another one at its address refuses."""
+"""Id of the runner that a call is for; another runner at its address refuses it."""
 NOT_EXECUTED = "X-Not-Executed"
 PROOF = "X-Server-Signature"
 MODEL = "X-Model"
 PROMPT_PARTS = "X-Prompt-Prefix"
-"""The whole prompt in parts, not only its shared beginning: the last is the call's."""
+"""All parts of the prompt, not only the shared prefix: the last part is the call's."""
 LAST_EVENT = "Last-Event-Id"
 URGENCY = "X-Request-Urgency"
-"""0 goes first and 9 last: a small number is an urgent one."""
+"""From 0, the most urgent, to 9."""
 FETCH_FROM = "Kv-Fetch"
 RETRY_AFTER = "Retry-After"
-"""In seconds, with fractions."""
+"""In seconds; fractions are allowed."""
 DRAINING = "Server-Leaving"
-"""In all answers of a runner that drains."""
+"""Set in every response of a draining runner."""
 DRAINING_VALUE = "1"
 
-ONLY_OURS = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         AUTHORIZATION,
@@ -46,7 +46,7 @@
         "X-Expected-Version",
     )
 )
-"""Headers that only the system may set: a caller's own never reach a runner."""
+"""Headers that only the router sets; those of a caller are not forwarded to runners."""
 
 RESOLVE_PATH = "/v1/resolve"
 READY_PATH = "/v1/readyz"
@@ -55,9 +55,9 @@
 STATE_NAME = "main"
 RUNNERS_KIND = "servers"
 EVACUATIONS_KIND = "evacuations"
-"""One object for each zone whose runners are to get nothing new, named by the zone."""
+"""One object for each evacuated zone, named after the zone."""
 NODES_KIND = "yoke-nodes"
-"""A kind of the system's own: one object for each node."""
+"""Written by the router: one object for each node."""
 CRASHES_KIND = "yoke-crashes"
-"""A kind of the system's own: one object for each request that is refused for the
-runners that ended under it."""
+"""Written by the router: one object for each request that is refused because it has
+crashed runners."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/node_answers.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/node_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a node itself: addresses, refusals and failures."""
+"""Encodes the responses that a node makes itself: addresses and errors."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def encode_addresses(nodes: Sequence[Node], *, keep_ms: float) -> bytes:
-    """Return the answer to a caller that asks where to connect."""
+    """Return the body of the response to a caller that asks for node addresses."""
     return msgspec.json.encode(
         {
             "addresses": [f"{node.address}:{node.caller_port}" for node in nodes],
@@ -28,12 +28,12 @@
 
 
 def encode_error(*, step: str, reason: str) -> bytes:
-    """Return the body of a node's own failure."""
+    """Return the body of a node's error response."""
     return msgspec.json.encode({"step": step, "reason": reason})
 
 
 def error_headers(call_id: str, *, retry_after_ms: float | None) -> dict[str, str]:
-    """Return the headers of a node's own failure."""
+    """Return the headers of a node's error response."""
     fields = dict(JSON_HEADERS)
     if call_id:
         fields[names.CALL_ID] = call_id
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
@@ -1,11 +1,11 @@
-"""What a runner is sent, and what its answer's head says."""
+"""Encodes the headers of calls to runners and decodes the heads of their responses."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
 from clementineyoke_node.platform import names
-from clementineyoke_node.platform.call_decoder import end_to_end
+from clementineyoke_node.platform.call_decoder import remove_hop_by_hop
 
 if TYPE_CHECKING:
     from multidict import CIMultiDictProxy
@@ -15,14 +15,14 @@
 MS_PER_S = 1000.0
 STATUS_MISDIRECTED = 421
 BACKOFF_STATUSES = frozenset((429, 503))
-"""Refusals with which a runner may ask a node to back off."""
-LONGEST_BACKOFF_MS = 3_600_000.0
-"""Longer times are cut to this: no restart takes an hour."""
+"""Statuses of refusals that may carry a backoff time."""
+MAX_BACKOFF_MS = 3_600_000.0
+"""Longer times are reduced to this: no restart takes an hour."""
 EVENT_STREAM = "text/event-stream"
 
 
 class RunnerOrder(NamedTuple):
-    """What the system adds to a call for one runner."""
+    """The headers that the router adds to a call to one runner."""
 
     runner_id: str
     team: str | None
@@ -30,28 +30,28 @@
     urgency: int
     last_event: int | None
     fetch_from: str | None = None
-    """IP:PORT of a runner that holds more of the prompt."""
+    """IP:PORT of a runner that has more of the prompt in its cache."""
 
 
 class AnswerHead(NamedTuple):
-    """What matters of the head of a runner's answer."""
+    """The decoded head of a runner's response."""
 
     status: int
     call_id: str
-    """The call that the runner says it answers; empty without a word."""
+    """Id of the call that the runner responds to; empty if the head has none."""
     is_refusal: bool
-    """Whether the runner says that it did not run the call."""
+    """Whether the runner states that it did not run the call."""
     has_proof: bool
     is_draining: bool
-    """Whether the runner signals that it drains."""
+    """Whether the runner signals that it is draining."""
     retry_after_ms: float
-    """How long the node is asked to back off; 0 if it is not."""
+    """Time for which the runner asks for backoff; 0 if it does not."""
     is_event_stream: bool
     passed_headers: list[tuple[str, str]]
 
 
 def encode_order(call: EdgeCall, order: RunnerOrder) -> list[tuple[str, str]]:
-    """Return the headers of a call for one runner."""
+    """Return the headers of a call to one runner."""
     fields = list(call.passed_headers)
     fields.append((names.EXPECTED_RUNNER, order.runner_id))
     if call.budget_ms is not None or order.left_ms:
@@ -68,32 +68,32 @@
 
 
 def decode_head(status: int, fields: CIMultiDictProxy[str]) -> AnswerHead:
-    """Decode the head of a runner's answer."""
+    """Decode the head of a runner's response."""
     return AnswerHead(
         status=status,
         call_id=fields.get(names.CALL_ID, ""),
         is_refusal=names.NOT_EXECUTED in fields or status == STATUS_MISDIRECTED,
         has_proof=names.PROOF in fields,
-        is_draining=_says_draining(status, fields),
+        is_draining=_is_draining(status, fields),
         retry_after_ms=_decode_retry_after_ms(status, fields),
         is_event_stream=fields.get("Content-Type", "").startswith(EVENT_STREAM),
-        passed_headers=end_to_end(list(fields.items())),
+        passed_headers=remove_hop_by_hop(list(fields.items())),
     )
 
 
-def _says_draining(status: int, fields: CIMultiDictProxy[str]) -> bool:
-    # A misdirected call was answered by another runner, which speaks for itself.
+def _is_draining(status: int, fields: CIMultiDictProxy[str]) -> bool:
+    # Status 421 comes from another runner at the address, which signals its own state.
     if status == STATUS_MISDIRECTED:
         return False
     return fields.get(names.DRAINING, "").strip() == names.DRAINING_VALUE
 
 
 def _decode_retry_after_ms(status: int, fields: CIMultiDictProxy[str]) -> float:
-    """Return the time of a refusal; 0 if there is none or it cannot be parsed."""
+    """Return the backoff time of a refusal; 0 if it is missing or cannot be parsed."""
     if status not in BACKOFF_STATUSES:
         return 0.0
     try:
         retry_after_ms = float(fields.get(names.RETRY_AFTER, "")) * MS_PER_S
     except ValueError:
         return 0.0
-    return min(retry_after_ms, LONGEST_BACKOFF_MS) if retry_after_ms > 0.0 else 0.0
+    return min(retry_after_ms, MAX_BACKOFF_MS) if retry_after_ms > 0.0 else 0.0
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
@@ -1,4 +1,4 @@
-"""The operator's object, decoded into the desired state."""
+"""Decodes the operator's object to the desired state."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 
 def _decode_route(route: dict[str, Any]) -> Route:
     return Route(
-        name=_text(route["name"]),
-        hostname=_text(route["hostname"]),
-        path_prefix=_text(route["pathPrefix"]),
+        name=_require_text(route["name"]),
+        hostname=_require_text(route["hostname"]),
+        path_prefix=_require_text(route["pathPrefix"]),
         kind=_KINDS.get(route["kind"], CallKind.NON_IDEMPOTENT),
         pools=_decode_pools(route),
         timeout_ms=float(route["timeoutMs"]),
@@ -63,14 +63,14 @@
         max_runners=max(1, int(route.get("maxAttempts") or 1)),
         is_public=bool(route.get("public")),
         is_resumable=bool(route.get("resumable")),
-        # "sticky" says no more than that calls carry a prompt; where they go is ours.
+        # "sticky" means only that calls carry a prompt; the router chooses the runner.
         has_prompt=bool(route.get("sticky")),
     )
 
 
 def _decode_pool(service: dict[str, Any]) -> PoolLimits:
     return PoolLimits(
-        pool=_text(service["name"]),
+        pool=_require_text(service["name"]),
         cold_ms=MS_PER_S * float(service.get("coldStartS") or 0),
         cold_calls_per_s=float(service.get("coldPerS") or 0),
     )
@@ -79,35 +79,35 @@
 def _decode_pools(route: dict[str, Any]) -> tuple[WeightedPool, ...]:
     if route.get("weightedServices"):
         return tuple(
-            WeightedPool(_text(entry["service"]), float(entry["weight"]))
+            WeightedPool(_require_text(entry["service"]), float(entry["weight"]))
             for entry in route["weightedServices"]
         )
-    return (WeightedPool(_text(route["service"]), 1.0),)
+    return (WeightedPool(_require_text(route["service"]), 1.0),)
 
 
 def _decode_team(team: dict[str, Any]) -> Team:
     priority = team.get("priority")
     return Team(
-        name=_text(team["name"]),
-        keys=tuple(map(_text, team.get("apiKeys", []))),
+        name=_require_text(team["name"]),
+        keys=tuple(map(_require_text, team.get("apiKeys", []))),
         priority=None if priority is None else int(priority),
     )
 
 
-def _text(value: Any) -> str:
+def _require_text(value: Any) -> str:
     if not isinstance(value, str):
-        message = f"{value!r} is no text"
+        message = f"{value!r} is not a string"
         raise TypeError(message)
     return value
 
 
 def _decode_limits(limits: dict[str, Any]) -> CallerLimits:
-    known = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=int(limits.get("maxHeaderBytes") or known.max_header_bytes),
-        max_body_bytes=int(limits.get("maxBodyBytes") or known.max_body_bytes),
+        max_header_bytes=int(limits.get("maxHeaderBytes") or defaults.max_header_bytes),
+        max_body_bytes=int(limits.get("maxBodyBytes") or defaults.max_body_bytes),
         header_timeout_ms=float(
-            limits.get("headerTimeoutMs") or known.header_timeout_ms
+            limits.get("headerTimeoutMs") or defaults.header_timeout_ms
         ),
-        idle_timeout_ms=float(limits.get("idleTimeoutMs") or known.idle_timeout_ms),
+        idle_timeout_ms=float(limits.get("idleTimeoutMs") or defaults.idle_timeout_ms),
     )
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The store's calls: list, watch, create, replace."""
+"""A client of the platform's store: list, watch, create, replace and delete."""
 
 from __future__ import annotations
 
@@ -30,37 +30,37 @@
 
 MS_PER_S = 1000.0
 CONNECT_TIMEOUT_MS = 500
-"""The store answers in 4 ms; a lost opening packet is sent again after a second, and a
-new connection sooner."""
+"""The store responds in 4 ms. TCP resends a lost SYN only after a second; a new
+connection is sooner."""
 WATCH_SLACK_MS = 700
-"""How much later than asked for a watch may answer, by a slow store."""
+"""How much later than requested a slow store may end a watch."""
 CALL_TIMEOUT_MS = 900
-"""Bounds a call that should be answered at once: a silent store must not hold a node
-longer than it takes to ask again. A slow store was seen to take 0.4 s."""
+"""Limit for calls that do not wait for changes: a store that does not respond must not
+block a node for longer than a retry takes. A slow store takes 0.4 s."""
 _STATUS_MISSING = 404
 _STATUS_CONFLICT = 409
 _STATUS_GONE = 410
 _STATUS_ERROR = 400
 
 
-_Answer = TypeVar("_Answer", EntryPage, EntryChanges)
+_Decoded = TypeVar("_Decoded", EntryPage, EntryChanges)
 
 
 class EntryList(NamedTuple):
-    """All objects of a kind, as of a revision."""
+    """All objects of a kind and the revision of the list."""
 
     entries: list[StoredEntry]
     revision: int
 
 
 class StoreClient:
-    """Speak the store's protocol; owns its connections."""
+    """Call the store over HTTP; owns the connections to it."""
 
     def __init__(self, *, address: str) -> None:
         self._address = address
         self._session: aiohttp.ClientSession | None = None
         self.calls = 0
-        """Calls made since the start; each has a price."""
+        """Calls since the start; the platform charges for each."""
 
     async def __aenter__(self) -> Self:
         """Open the connection pool."""
@@ -74,9 +74,9 @@
             await self._session.close()
 
     async def list_all(self, kind: str, *, may_be_old: bool = False) -> EntryList:
-        """Return all objects of a kind, page after page.
+        """Return all objects of a kind, read page by page.
 
-        With ``may_be_old`` the list may be some seconds old, for a tenth of the price.
+        With ``may_be_old`` the list may be some seconds old and costs a tenth.
         """
         entries: list[StoredEntry] = []
         revision = 0
@@ -86,10 +86,10 @@
             if may_be_old:
                 params["allowStale"] = "1"
             content = await self._call("GET", _path(kind), params=params)
-            page = self._read(decode_page, content, kind)
+            page = self._decode(decode_page, content, kind)
             entries += page.entries
-            # Later pages are of later revisions; a watch from the first one's misses
-            # no change that came in between.
+            # Later pages may have later revisions; a watch from the first page's
+            # revision misses no change between them.
             revision = revision or page.revision
             if not page.has_more:
                 return EntryList(entries, revision)
@@ -98,22 +98,22 @@
     async def watch(self, kind: str, *, revision: int, wait_ms: int) -> EntryChanges:
         """Wait until objects of a kind change after a revision.
 
-        Raises ``HistoryGoneError`` when only a new list helps.
+        Raises ``HistoryGoneError`` if the objects must be listed again.
         """
         params = {"watch": str(revision), "waitMs": str(wait_ms)}
         content = await self._call("GET", _path(kind), params=params, wait_ms=wait_ms)
-        return self._read(decode_events, content, kind)
+        return self._decode(decode_events, content, kind)
 
     async def create(self, kind: str, name: str, spec: dict[str, Any]) -> None:
-        """Create an object; raises ``RevisionConflictError`` if there is one."""
+        """Create an object; raises ``RevisionConflictError`` if it exists."""
         await self._call("POST", _path(kind), body=_object(name, spec))
 
     async def replace(self, kind: str, name: str, spec: dict[str, Any]) -> None:
-        """Replace an object's content, whatever its revision."""
+        """Replace an object's content regardless of its revision."""
         await self._call("PUT", f"{_path(kind)}/{name}", body=_object(name, spec))
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object; one that is gone already is no error."""
+        """Delete an object; a missing object is not an error."""
         with suppress(ObjectMissingError):
             await self._call("DELETE", f"{_path(kind)}/{name}")
 
@@ -128,7 +128,9 @@
     ) -> bytes:
         step = f"{method} {path}"
         if self._session is None:
-            raise StoreError(step=step, peer=self._address, reason="is closed")
+            raise StoreError(
+                step=step, peer=self._address, reason="store client is closed"
+            )
         self.calls += 1
         timeout = aiohttp.ClientTimeout(
             total=(wait_ms + WATCH_SLACK_MS if wait_ms else CALL_TIMEOUT_MS) / MS_PER_S,
@@ -164,18 +166,18 @@
             error = ObjectMissingError
         raise error(step=step, peer=self._address, reason=f"status {status}")
 
-    def _read(
-        self, decode: Callable[[bytes], _Answer], content: bytes, kind: str
-    ) -> _Answer:
+    def _decode(
+        self, decode: Callable[[bytes], _Decoded], content: bytes, kind: str
+    ) -> _Decoded:
         try:
-            answer = decode(content)
+            decoded = decode(content)
         except FormatError as error:
             raise StoreError(
                 step=error.step, peer=self._address, reason=error.reason
             ) from error
-        if answer.unreadable:
-            log_event(Event.ENTRY_UNREADABLE, kind=kind, count=answer.unreadable)
-        return answer
+        if decoded.unreadable:
+            log_event(Event.ENTRY_UNREADABLE, kind=kind, count=decoded.unreadable)
+        return decoded
 
 
 def _path(kind: str) -> str:
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_error.py
@@ -1,4 +1,4 @@
-"""Failures of calls to the store."""
+"""Errors of calls to the store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 class StoreError(Exception):
     """A call failed; carries step and peer.
 
-    Unless a subclass says otherwise, nothing tells whether a write took effect.
+    Unless a subclass states otherwise, a write may or may not have taken effect.
     """
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
@@ -17,12 +17,12 @@
 
 
 class HistoryGoneError(StoreError):
-    """The store no longer holds the history that a watch wanted."""
+    """The store no longer has the changes since a watch's revision."""
 
 
 class RevisionConflictError(StoreError):
-    """A conditional write met another revision, or an object that exists."""
+    """A conditional write found another revision, or the object to create exists."""
 
 
 class ObjectMissingError(StoreError):
-    """There is no object of that name."""
+    """No object of that name exists."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_page.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_page.py
@@ -1,4 +1,4 @@
-"""Answers of the store, taken apart object by object."""
+"""Decodes the store's responses object by object."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class StoredEntry(NamedTuple):
-    """One object of the store; its content is decoded by whoever knows its kind."""
+    """One object of the store; its content is decoded by kind elsewhere."""
 
     name: str
     revision: int
     spec: bytes
-    """JSON as it came: what another writer put there may not be readable."""
+    """JSON as received; content from other writers may be malformed."""
 
 
 class EntryChange(NamedTuple):
@@ -27,19 +27,19 @@
 
 
 class EntryPage(NamedTuple):
-    """One answer to a list call."""
+    """One page of a list."""
 
     entries: list[StoredEntry]
     revision: int
     has_more: bool
     last_name: str
-    """From which object's name the next page goes on."""
+    """Name of the last object, after which the next page starts."""
     unreadable: int
-    """Objects that do not even say which one they are."""
+    """Number of objects without a readable name and revision."""
 
 
 class EntryChanges(NamedTuple):
-    """What a watch saw, and from where to watch on."""
+    """Changes that a watch returned, and the revision for the next watch."""
 
     changes: list[EntryChange]
     revision: int
@@ -72,14 +72,14 @@
     store_revision: int
 
 
-_Answer = TypeVar("_Answer", _Page, _Events)
+_Document = TypeVar("_Document", _Page, _Events)
 
 
 def decode_page(content: bytes) -> EntryPage:
-    """Decode an answer to a list call; raises ``FormatError``.
+    """Decode the response to a list call; raises ``FormatError``.
 
-    Objects are decoded one by one. Decoded as a whole, one byte that cannot be read in
-    one object hides all others, seen as a node that knows no runner.
+    Objects are decoded one by one. If the page were decoded as a whole, one malformed
+    byte in one object would hide all others, and the node would know no runner.
     """
     page = _decode(content, _Page)
     entries = [entry for entry in map(_decode_item, page.items) if entry is not None]
@@ -93,13 +93,13 @@
 
 
 def decode_events(content: bytes) -> EntryChanges:
-    """Decode a watch's answer; raises ``FormatError``."""
-    answer = _decode(content, _Events)
+    """Decode the response to a watch; raises ``FormatError``."""
+    document = _decode(content, _Events)
     changes = [
-        change for change in map(_decode_event, answer.events) if change is not None
+        change for change in map(_decode_event, document.events) if change is not None
     ]
-    unreadable = len(answer.events) - len(changes)
-    return EntryChanges(changes, answer.store_revision, unreadable)
+    unreadable = len(document.events) - len(changes)
+    return EntryChanges(changes, document.store_revision, unreadable)
 
 
 def _decode_event(raw: msgspec.Raw) -> EntryChange | None:
@@ -112,7 +112,7 @@
 
 
 def _decode_item(raw: msgspec.Raw) -> StoredEntry | None:
-    """Return an object, or None for one that does not say which it is."""
+    """Return an object, or None if its name or revision cannot be read."""
     try:
         item = msgspec.json.decode(raw, type=_Item)
     except ValueError:
@@ -120,15 +120,15 @@
     return StoredEntry(item.metadata.name, item.metadata.revision, bytes(item.spec))
 
 
-def _decode(content: bytes, kind: type[_Answer]) -> _Answer:
+def _decode(content: bytes, kind: type[_Document]) -> _Document:
     try:
         return msgspec.json.decode(content, type=kind)
     except ValueError:
         return _decode_leniently(content, kind)
 
 
-def _decode_leniently(content: bytes, kind: type[_Answer]) -> _Answer:
-    """Read what strict JSON is not, as numbers that are none and control bytes."""
+def _decode_leniently(content: bytes, kind: type[_Document]) -> _Document:
+    """Decode JSON that the strict parser rejects, as with NaN or control characters."""
     try:
         document = json.loads(content.decode(errors="replace"), strict=False)
         return msgspec.json.decode(msgspec.json.encode(document), type=kind)
