--- a/packages/clementineyoke-node/src/clementineyoke_node/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/__init__.py
@@ -1,3 +1,3 @@
-"""The router node: tasks that own sockets, timers and state round the core."""
+"""The router node: tasks, sockets, timers and state around the core."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' and peers' HTTP interface of a node."""
+"""The HTTP interface of a node for operators and peers."""
 
 from __future__ import annotations
 
@@ -32,11 +32,14 @@
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 BEARER = "Bearer "
-MOST_CHANGES = 256
+MAX_CHANGES = 256
 
 
 class AdminApi:
-    """Status, explanations, settings and drain for operators with a key."""
+    """Serve status, explanations, settings and drain to operators with a key.
+
+    Health, readiness and metrics need no key; settings for peers are sealed.
+    """
 
     def __init__(
         self,
@@ -71,25 +74,25 @@
         app.router.add_get("/metrics", self._render_metrics)
         app.router.add_get(CHANGES_PATH, self._peer_changes)
         app.router.add_get(SNAPSHOT_PATH, self._peer_snapshot)
-        app.router.add_get("/admin/status", self._guard(self._get_status))
-        app.router.add_get("/admin/explain", self._guard(self._explain))
-        app.router.add_get("/admin/settings", self._guard(self._get_settings))
-        app.router.add_get("/admin/settings/history", self._guard(self._history))
-        app.router.add_post("/admin/settings", self._guard(self._change_settings))
-        app.router.add_post("/admin/drain", self._guard(self._drain))
+        app.router.add_get("/admin/status", self._require_key(self._status_page))
+        app.router.add_get("/admin/explain", self._require_key(self._explain))
+        app.router.add_get("/admin/settings", self._require_key(self._get_settings))
+        app.router.add_get("/admin/settings/history", self._require_key(self._history))
+        app.router.add_post("/admin/settings", self._require_key(self._change_settings))
+        app.router.add_post("/admin/drain", self._require_key(self._drain))
         return app
 
-    def _guard(self, handler: Handler) -> Handler:
-        async def guarded(request: web.Request) -> web.StreamResponse:
+    def _require_key(self, handler: Handler) -> Handler:
+        async def authorized(request: web.Request) -> web.StreamResponse:
             header = request.headers.get("Authorization", "")
             key = header.removeprefix(BEARER)
             if not header.startswith(BEARER) or not matches_any_hash(
                 key, self._key_hashes
             ):
-                return _refuse(401, "authenticate", "the operator key is wrong")
+                return _error_response(401, "authenticate", "the operator key is wrong")
             return await handler(request)
 
-        return guarded
+        return authorized
 
     async def _health(self, request: web.Request) -> web.StreamResponse:
         return web.json_response({"alive": True})
@@ -104,25 +107,29 @@
     async def _peer_changes(self, request: web.Request) -> web.StreamResponse:
         after = request.query.get("after", "")
         if not after.isdecimal():
-            return _refuse(400, "read_query", "after must be a whole number")
+            return _error_response(400, "read_query", "after must be a whole number")
         changes = self._settings.log.changes_after(int(after))
         if changes is None:
-            return _refuse(410, "find_changes", "these changes are no longer kept")
-        encoded = encode_changes(changes[:MOST_CHANGES], seal=self._seal)
+            return _error_response(
+                410, "find_changes", "these changes are no longer kept"
+            )
+        encoded = encode_changes(changes[:MAX_CHANGES], seal=self._seal)
         return web.Response(body=encoded)
 
     async def _peer_snapshot(self, request: web.Request) -> web.StreamResponse:
         log = self._settings.log
         if log.version == 0:
-            return _refuse(410, "find_snapshot", "no settings are in force here yet")
+            return _error_response(
+                410, "find_snapshot", "no settings are in force here yet"
+            )
         return web.Response(body=encode_snapshot(log.snapshot(), seal=self._seal))
 
-    async def _get_status(self, request: web.Request) -> web.StreamResponse:
+    async def _status_page(self, request: web.Request) -> web.StreamResponse:
         return web.json_response(self._status())
 
     async def _explain(self, request: web.Request) -> web.StreamResponse:
-        found = self._decisions.find(request.query.get("id", ""))
-        return web.json_response({"decisions": found})
+        decisions = self._decisions.find(request.query.get("id", ""))
+        return web.json_response({"decisions": decisions})
 
     async def _get_settings(self, request: web.Request) -> web.StreamResponse:
         path = request.query.get("path", "/")
@@ -142,15 +149,15 @@
 
     async def _history(self, request: web.Request) -> web.StreamResponse:
         log = self._settings.log
-        recent = range(max(0, log.version - MOST_CHANGES), log.version)
-        changes = log.changes_after(recent.start) or []
+        versions = range(max(0, log.version - MAX_CHANGES), log.version)
+        changes = log.changes_after(versions.start) or []
         return web.Response(body=json.encode(changes), content_type="application/json")
 
     async def _change_settings(self, request: web.Request) -> web.StreamResponse:
         try:
             body = json.decode(await request.read(), type=SettingsChangeBody)
         except DecodeError as error:
-            return _refuse(400, "parse", str(error))
+            return _error_response(400, "parse", str(error))
         try:
             diffs = [diff._asdict() for diff in self._writer.diff(body)]
             if body["dry_run"]:
@@ -159,7 +166,7 @@
                 self._writer.commit(body, wall_ms=self._timers.wall_ms())
             )
         except SettingsError as error:
-            return _refuse(409, error.step, error.reason, error.details)
+            return _error_response(409, error.step, error.reason, error.details)
         return web.json_response({"version": change.version, "diffs": diffs})
 
     async def _drain(self, request: web.Request) -> web.StreamResponse:
@@ -167,7 +174,7 @@
         return web.json_response({"draining": True})
 
 
-def _refuse(
+def _error_response(
     status: int, step: str, reason: str, details: list[str] | None = None
 ) -> web.Response:
     body = {"step": step, "reason": reason, "details": details or []}
--- a/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/caller_server.py
@@ -1,4 +1,4 @@
-"""The HTTP application for callers, put together."""
+"""Assembles the HTTP application for callers."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class CallerServer:
-    """Own the gate and the handlers behind it."""
+    """Own the request gate and the handlers that it wraps."""
 
     def __init__(self, *, config: NodeConfig, state: NodeState, io: NodeIo) -> None:
         self._max_body_bytes = config.max_body_bytes
-        authenticator = Authenticator(settings=io.keeper)
+        authenticator = Authenticator(settings=io.settings)
         limiter = TeamLimiter(
             membership=state.membership,
             homes=state.fleet_homes,
-            settings=io.keeper,
+            settings=io.settings,
             socket=io.socket,
             timers=io.timers,
             timeout_ms=config.share_timeout_ms,
@@ -58,44 +58,44 @@
             decisions=state.decisions,
         )
         signer = TokenSigner(keys=config.peer_keys)
-        placements = PlacementTokenCodec(signer=signer)
-        resumes = ResumeTokenCodec(signer=signer)
-        self._chats = ChatHandler(
+        placement_tokens = PlacementTokenCodec(signer=signer)
+        resume_tokens = ResumeTokenCodec(signer=signer)
+        self._chat_handler = ChatHandler(
             authenticator=authenticator,
             dispatcher=dispatcher,
-            placements=placements,
-            resumes=resumes,
+            placement_tokens=placement_tokens,
+            resume_tokens=resume_tokens,
         )
-        self._resumes = ResumeHandler(
-            tokens=resumes,
+        self._resume_handler = ResumeHandler(
+            tokens=resume_tokens,
             table=state.table,
             broker=io.broker,
             client=io.client,
             timers=io.timers,
             decisions=state.decisions,
         )
-        self._services = ServiceHandler(
+        self._service_handler = ServiceHandler(
             authenticator=authenticator, dispatcher=dispatcher, claims=io.claims
         )
-        self._addresses = AddressHandler(
+        self._address_handler = AddressHandler(
             membership=state.membership,
             homes=state.region_homes,
             rings=state.rings,
             steering=Steering(),
-            settings=io.keeper,
-            tokens=placements,
+            settings=io.settings,
+            tokens=placement_tokens,
         )
 
     def application(self) -> web.Application:
         """Return the application with its routes."""
         app = web.Application(client_max_size=self._max_body_bytes)
         guard = self.gate.guard
-        app.router.add_post(CHAT_PATH, guard(self._chats.handle))
-        app.router.add_get(STREAMS_PATH, guard(self._resumes.handle))
-        app.router.add_get(ADDRESSES_PATH, guard(self._addresses.handle))
-        app.router.add_route("*", SERVICE_ROUTE, guard(self._services.handle))
+        app.router.add_post(CHAT_PATH, guard(self._chat_handler.handle))
+        app.router.add_get(STREAMS_PATH, guard(self._resume_handler.handle))
+        app.router.add_get(ADDRESSES_PATH, guard(self._address_handler.handle))
+        app.router.add_route("*", SERVICE_ROUTE, guard(self._service_handler.handle))
         return app
 
     async def wait_for_runs(self) -> None:
-        """Wait for the non-idempotent runs whose callers went away."""
-        await self._services.wait_for_runs()
+        """Wait for non-idempotent runs whose callers have disconnected."""
+        await self._service_handler.wait_for_runs()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
@@ -56,13 +56,13 @@
         *,
         authenticator: Authenticator,
         dispatcher: Dispatcher,
-        placements: PlacementTokenCodec,
-        resumes: ResumeTokenCodec,
+        placement_tokens: PlacementTokenCodec,
+        resume_tokens: ResumeTokenCodec,
     ) -> None:
         self._authenticator = authenticator
         self._dispatcher = dispatcher
-        self._placements = placements
-        self._resumes = resumes
+        self._placement_tokens = placement_tokens
+        self._resume_tokens = resume_tokens
 
     async def handle(
         self, request: web.Request, caller: CallerRequest
@@ -85,7 +85,7 @@
             headers=_runner_headers(request, caller),
             body=body,
             is_idempotent=True,
-            preferred=self._placements.read(
+            preferred=self._placement_tokens.read(
                 scope, request.headers.get(headers.PLACEMENT, "")
             ),
         )
@@ -101,10 +101,12 @@
     def _issue_tokens(
         self, call: RoutedCall, scope: ChatScope, runner_id: str
     ) -> dict[str, str]:
-        tokens = {headers.PLACEMENT: self._placements.issue(scope, runner_id)}
+        tokens = {headers.PLACEMENT: self._placement_tokens.issue(scope, runner_id)}
         if headers.RESUMABLE in call.headers:
             stream = StreamLocation(runner_id, call.caller.request_id)
-            tokens[headers.RESUME] = self._resumes.issue(call.caller.team_path, stream)
+            tokens[headers.RESUME] = self._resume_tokens.issue(
+                call.caller.team_path, stream
+            )
         return tokens
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/__init__.py
@@ -1,3 +1,3 @@
-"""What a node reads from its settings file at start."""
+"""A node's settings file."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/config_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/config_error.py
@@ -1,10 +1,10 @@
-"""A settings file that cannot be used."""
+"""The error for a settings file that cannot be read or is invalid."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """Say at which step which file was refused, and why."""
+    """A settings file was refused; carries step, source and reason."""
 
     def __init__(self, *, step: str, source: str, reason: str) -> None:
         super().__init__(f"{source}: {step}: {reason}")
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/json_file.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/json_file.py
@@ -1,4 +1,4 @@
-"""Read a file of JSON with comments."""
+"""Reads files of JSON with comments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_json(path: str) -> Any:
-    """Return the document in a file; raises ``ConfigError``."""
+    """Return the parsed content of a file; raises ``ConfigError``."""
     try:
         text = Path(path).read_text(encoding="utf-8")
         return json5.loads(text)
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/node_place.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/node_place.py
@@ -1,4 +1,4 @@
-"""Where a node is and how its peers know it, whichever settings say so."""
+"""The settings that both kinds of nodes have in common."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class NodePlace(Protocol):
-    """What the state of a node needs of its settings."""
+    """The settings that ``NodeState`` uses."""
 
     @property
     def node_id(self) -> str:
-        """The node's name."""
+        """Unique name of the node."""
 
     @property
     def address(self) -> str:
-        """IP number that callers and peers connect to."""
+        """IP address that callers and peers connect to."""
 
     @property
     def caller_port(self) -> int:
@@ -26,20 +26,20 @@
 
     @property
     def availability_zone(self) -> str:
-        """The zone that the node is in."""
+        """Availability zone of the node."""
 
     @property
     def region(self) -> str:
-        """The region that the node is in."""
+        """Region of the node."""
 
     @property
     def calls_per_s(self) -> int:
-        """Calls a second that the node bears; 0 if its settings do not tell."""
+        """Calls per second that the node can carry; 0 if unknown."""
 
     @property
     def peer_keys(self) -> list[str]:
-        """Keys of datagrams; the first signs, all are accepted."""
+        """Keys for datagrams; the first key signs, signatures by any are accepted."""
 
     @property
     def max_requests(self) -> int:
-        """Calls in flight at which the node refuses more."""
+        """Maximum calls in flight; more are refused."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
@@ -1,4 +1,4 @@
-"""Notice that a node's settings file has changed, with a signal or without one."""
+"""Reloads a node's settings file on a signal or when the file changes."""
 
 from __future__ import annotations
 
@@ -14,20 +14,23 @@
     from collections.abc import Callable
 
 
-START_ATTEMPTS = 50
-START_PAUSE_S = 0.1
-"""How often a node that starts reads a file that does not read as agreed, and the pause
-between: a writer has five seconds to finish."""
+MAX_START_ATTEMPTS = 50
+START_RETRY_PAUSE_S = 0.1
+"""Attempts of a starting node to read an invalid settings file, and the pause between
+them: a writer has five seconds to finish."""
 
 
 def wait_for_config(
-    path: str, *, attempts: int = START_ATTEMPTS, pause_s: float = START_PAUSE_S
+    path: str,
+    *,
+    attempts: int = MAX_START_ATTEMPTS,
+    pause_s: float = START_RETRY_PAUSE_S,
 ) -> EdgeConfig:
-    """Read the settings of a node that starts; raises ``ConfigError`` in the end.
+    """Read the settings at startup; raises ``ConfigError`` after the last attempt.
 
-    The file may be half written just then, as when a host is set up and its processes
-    are started at once. Ending there costs a start more, seen as a host that is ready
-    seconds after the others.
+    The file may be partially written when a host is set up and its processes are
+    started at the same time. If the node exited then, the additional start would make
+    the host ready seconds after the others.
     """
     for _ in range(attempts - 1):
         try:
@@ -39,10 +42,10 @@
 
 
 class SettingsFile:
-    """Hold the settings in force; hand over those that a changed file brings.
+    """Own the settings in force and report those of a changed file.
 
-    A file that does not read as agreed changes nothing: a node that ended itself for it
-    would take callers down with it at each half-written file.
+    An invalid file changes nothing: if the node exited on it, every partially written
+    file would disconnect callers.
     """
 
     def __init__(
@@ -51,11 +54,11 @@
         self._path = path
         self._config = config
         self._on_change = on_change
-        self._written_ns = self._stat_ns()
+        self._modified_ns = self._read_modified_ns()
 
     def reload(self) -> None:
-        """Read the file anew."""
-        self._written_ns = self._stat_ns()
+        """Reload the file and report changed settings."""
+        self._modified_ns = self._read_modified_ns()
         try:
             config = load_edge_config(self._path)
         except ConfigError as error:
@@ -68,12 +71,12 @@
             self._on_change(config)
 
     async def check(self) -> None:
-        """Read the file anew if it was written since."""
-        if self._stat_ns() != self._written_ns:
+        """Reload the file if it was modified since it was last read."""
+        if self._read_modified_ns() != self._modified_ns:
             self.reload()
 
-    def _stat_ns(self) -> int:
+    def _read_modified_ns(self) -> int:
         try:
             return Path(self._path).stat().st_mtime_ns
         except OSError:
-            return 0  # being replaced; the next check sees the new one
+            return 0  # the file is being replaced; the next check reads it
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/__init__.py
@@ -1,3 +1,3 @@
-"""The node's command line; it only parses and prints."""
+"""The node's command line; it only parses arguments and prints errors."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
@@ -1,7 +1,7 @@
-"""The first moment of a process: its doors, and orders that come before it is ready.
+"""Opens listening sockets and handles stop signals before the node is loaded.
 
-Nothing but the socket module is imported here: all else takes the tenths of a second
-that this module is there to bridge.
+Only the signal and socket modules are imported here: importing the node takes some
+tenths of a second, and this module covers that time.
 """
 
 from __future__ import annotations
@@ -9,67 +9,66 @@
 import signal
 import socket
 
-DOORS_OPTION = "--doors="
+LISTENERS_OPTION = "--doors="
 BACKLOG = 512
-"""Connections that may wait on a door: a node has some tens of callers a second."""
+"""Connections that may wait on a listener; a node has some tens of callers a second."""
 
 
 class EarlyStart:
-    """Own the listening sockets until the node takes them, and remember a stop.
+    """Own the listening sockets until the node takes them, and record a stop signal.
 
-    When all nodes are killed, callers that come back are refused until the first node
-    listens; a node that opened its doors after its modules were loaded did so some
-    tenths of a second after its start. Callers whose connections wait in the door's
-    queue meanwhile are answered late; those that were refused twice were not answered
-    at all.
+    After all nodes were killed, returning callers are refused until the first node
+    listens. If the sockets were opened after the modules were loaded, that would take
+    some tenths of a second longer. Callers whose connections wait in the backlog are
+    answered late; callers that are refused twice are not answered at all.
     """
 
     def __init__(self, *, addresses: list[str]) -> None:
         self._addresses = addresses
         self._sockets: dict[str, socket.socket] = {}
         self.is_stop_ordered = False
-        """Whether the platform ordered a stop before the node could take the order."""
+        """Whether a stop was requested before the node could handle the signal."""
 
     def __enter__(self) -> EarlyStart:
-        """Open the doors; from now on no signal ends the process."""
-        # What a change of the settings tells is read anyway: the settings come later.
+        """Open the sockets; from here on SIGHUP and SIGTERM do not end the process."""
+        # Changed settings are not missed: the settings are read after this.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        signal.signal(signal.SIGTERM, self._note_stop)
+        signal.signal(signal.SIGTERM, self._on_stop_signal)
         for address in self._addresses:
-            self._open(address)
+            self._open_listener(address)
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """Close the doors that nobody took."""
-        for door in self._sockets.values():
-            door.close()
+        """Close the sockets that were not taken."""
+        for listener in self._sockets.values():
+            listener.close()
 
     def take(self, address: str) -> socket.socket | None:
-        """Return the door at IP:PORT, or None if it could not be opened early."""
+        """Return the socket for IP:PORT, or None if it could not be opened early."""
         return self._sockets.pop(address, None)
 
-    def _note_stop(self, *signal_info: object) -> None:
+    def _on_stop_signal(self, *signal_info: object) -> None:
         self.is_stop_ordered = True
 
-    def _open(self, address: str) -> None:
+    def _open_listener(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        door = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            door.bind((host, int(port)))
-            door.listen(BACKLOG)
-            door.setblocking(False)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.bind((host, int(port)))
+            listener.listen(BACKLOG)
+            listener.setblocking(False)
         except (OSError, ValueError):
-            # The node opens it as its settings say, and then tells what is wrong.
-            door.close()
+            # The node opens the socket again from its settings and reports the error.
+            listener.close()
             return
-        self._sockets[address] = door
+        self._sockets[address] = listener
 
 
-def door_addresses(words: list[str]) -> list[str]:
-    """Return the IP:PORT of each door that the command line names."""
-    named: list[str] = []
-    for word in words:
-        if word.startswith(DOORS_OPTION):
-            named += word.removeprefix(DOORS_OPTION).split(",")
-    return sorted({address for address in named if address})
+def door_addresses(arguments: list[str]) -> list[str]:
+    """Return the IP:PORT of each listener that the command line names."""
+    addresses: list[str] = []
+    for argument in arguments:
+        if argument.startswith(LISTENERS_OPTION):
+            addresses += argument.removeprefix(LISTENERS_OPTION).split(",")
+    return sorted({address for address in addresses if address})
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge.py
@@ -1,4 +1,4 @@
-"""Run one node on the users' platform until it is told to stop."""
+"""Run one node on the users' platform until it is stopped."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def main() -> None:
-    """Open the doors and make the start safe from signals, then load the node.
+    """Open the listening sockets, handle signals, then load and run the node.
 
-    Loading takes some tenths of a second. Python's defaults would let a signal end the
-    process meanwhile, seen as a node that ends by itself with -1 or -15.
+    Loading takes some tenths of a second. With Python's default handlers a signal would
+    end the process in that time, with exit status -1 or -15.
     """
     with EarlyStart(addresses=door_addresses(sys.argv[1:])) as start:
-        # Here and not above: this is what takes the time.
+        # Imported here because loading this module takes most of the startup time.
         from clementineyoke_node.console import edge_process
 
         edge_process.run(start)
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
@@ -1,4 +1,4 @@
-"""One node on the users' platform, from its settings to its last answer."""
+"""Runs one node on the users' platform, from loading its settings to shutdown."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     from clementineyoke_node.console.early_start import EarlyStart
 
 EXIT_BAD_CONFIG = 2
-FIRST_LOG_LEVEL = "INFO"
-"""Until the settings are read; lines carry the process id until the name is known."""
-SETTINGS_INTERVAL_MS = 5_000
-"""How often to look whether the settings file was written without a signal."""
+INITIAL_LOG_LEVEL = "INFO"
+"""In force until the settings are read; until then log lines carry the process id."""
+SETTINGS_CHECK_INTERVAL_MS = 5_000
+"""Interval of checks for a settings file that was modified without a signal."""
 
 
 def run(start: EarlyStart) -> None:
-    """Read the settings that the platform wrote, and serve until told to stop."""
+    """Load the settings that the platform wrote, and serve until stopped."""
     path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
-    log_to_pipe(FIRST_LOG_LEVEL, node=str(os.getpid()))
+    log_to_pipe(INITIAL_LOG_LEVEL, node=str(os.getpid()))
     try:
         config = wait_for_config(path)
     except ConfigError as error:
@@ -42,11 +42,11 @@
 
 
 def _ignore_signals() -> None:
-    """Let the process end in order after its last answer.
+    """Ignore signals during interpreter shutdown.
 
-    The interpreter gives signals with a handler their defaults back as it ends, and
-    then takes a tenth of a second to unload its modules. A signal that comes meanwhile
-    would make a stop in order look like a process that was killed; ignored ones stay.
+    At exit the interpreter restores the default handlers of handled signals, but not of
+    ignored ones, and then takes a tenth of a second to unload its modules. A signal in
+    that time would make a graceful stop look like a killed process.
     """
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
@@ -56,8 +56,8 @@
     loop = asyncio.get_running_loop()
     service = EdgeService(config=config, take_listener=start.take)
     settings = SettingsFile(path=path, config=config, on_change=service.apply_config)
-    # Before any call is taken: a signal that met its default then would end the process
-    # with the calls that it has.
+    # Set before any call is accepted: with the default handlers a signal would end the
+    # process and abort its calls.
     loop.add_signal_handler(signal.SIGTERM, service.request_stop)
     loop.add_signal_handler(signal.SIGINT, service.request_stop)
     loop.add_signal_handler(signal.SIGHUP, settings.reload)
@@ -65,6 +65,6 @@
         service.request_stop()
     async with service:
         service.io.timers.subscribe(
-            "settings", interval_ms=SETTINGS_INTERVAL_MS, call=settings.check
+            "settings", interval_ms=SETTINGS_CHECK_INTERVAL_MS, call=settings.check
         )
         await service.run_until_stopped()
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/main.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/main.py
@@ -19,7 +19,7 @@
 
 
 def run(config: str) -> None:
-    """Run a node until it is told to stop.
+    """Run a node until it is stopped.
 
     Args:
         config: Path of the node's settings file (JSON with comments).
@@ -32,25 +32,22 @@
         raise SystemExit(EXIT_BAD_CONFIG) from error
     log_as_json(node_config.log_level)
     service = NodeService(config=node_config)
-    longest_stop_s = (
-        node_config.stop_deadline_ms + node_config.stop_linger_ms
-    ) / MS_PER_S
-    # aiomisc's own signal handling stops the loop from a callback while the loop is
-    # still being closed: a graceful stop then ended with a traceback and exit code 1
-    # in some runs of the demo.
+    max_stop_s = (node_config.stop_deadline_ms + node_config.stop_linger_ms) / MS_PER_S
+    # aiomisc's own signal handling may stop the loop from a callback while the loop is
+    # being closed; a graceful stop then ends with a traceback and exit code 1.
     with entrypoint(
         service,
         log_config=False,
         catch_signals=(),
-        shutdown_timeout=longest_stop_s + SHUTDOWN_SLACK_S,
+        shutdown_timeout=max_stop_s + SHUTDOWN_SLACK_S,
     ) as loop:
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, service.order_stop)
-        loop.run_until_complete(service.wait_for_stop_order())
+            loop.add_signal_handler(number, service.request_stop)
+        loop.run_until_complete(service.wait_for_stop_request())
 
 
 def main() -> None:
-    """Entry point of the binary."""
+    """Run the command line."""
     fire.Fire(run)
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/metrics.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Own the registry and every metric."""
+    """Own the registry and all metrics."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -55,6 +55,6 @@
         )
 
     def record_outcome(self, outcome: str, elapsed_ms: float) -> None:
-        """Count a request that ended."""
+        """Record a completed request."""
         self.requests.inc({"outcome": outcome})
         self.latency_s.observe({"outcome": outcome}, elapsed_ms / 1000)
--- a/packages/clementineyoke-node/src/clementineyoke_node/metrics_page.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of a node's metrics, the same on both of its interfaces."""
+"""The metrics page, shared by the operator interfaces of both kinds of nodes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def answer_with_metrics(request: web.Request, metrics: Metrics) -> web.Response:
-    """Answer in the form that the scraper asks for."""
+    """Return the metrics in the format that the scraper accepts."""
     accept = request.headers.getall("Accept", [])
     content, content_headers = render(metrics.registry, accept)
     return web.Response(body=content, headers=content_headers)
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -1,4 +1,4 @@
-"""The parts of one node that own sockets, connections, timers and tasks."""
+"""The components of a node that own sockets, connections, timers and tasks."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 RENEWAL_INTERVAL_MS = 4_000
 EXPIRY_INTERVAL_MS = 1_000
-SERVE_WAITING_INTERVAL_MS = 50
+QUEUE_INTERVAL_MS = 50
 PROBE_INTERVAL_MS = 250
-SETTINGS_POLL_MS = 30_000
+SETTINGS_POLL_INTERVAL_MS = 30_000
 SNAPSHOT_INTERVAL_MS = 10_000
 
 
 class NodeIo:
-    """Own the parts, in the order in which they need each other."""
+    """Own the components and open them in the order of their dependencies."""
 
     def __init__(
         self,
@@ -60,47 +60,47 @@
         self.prober = RunnerProber(
             table=state.table, client=self.client, timers=self.timers
         )
-        self.keeper = SettingsReplica(
+        self.settings = SettingsReplica(
             objects=self.platform,
             peers=HttpPeerSettings(seal=state.seal),
             has_watch_duty=state.has_watch_duty,
-            has_snapshot_duty=state.has_snapshot_duty,
+            has_snapshot_duty=state.is_snapshot_writer,
         )
-        self._make_slots()
-        self._make_claims()
-        self._make_fleet()
+        self._create_slot_components()
+        self._create_claim_components()
+        self._create_fleet_components()
 
     async def __aenter__(self) -> Self:
-        """Open everything."""
-        for part in (
+        """Open all components and start the periodic work."""
+        for component in (
             self.tasks,
             self.timers,
             self.socket,
             self.platform,
             self.client,
-            self.keeper,
+            self.settings,
             self.claim_home,
-            self.hosts,
+            self.host_watcher,
         ):
-            await self._stack.enter_async_context(part)
-        self._subscribe()
+            await self._stack.enter_async_context(component)
+        self._start_timers()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close everything, the last opened first."""
+        """Close all components in reverse order."""
         await self._stack.aclose()
 
     def apply_hosts(self) -> None:
-        """Let every part take a changed view of nodes and runners."""
-        moved = self._state.take_hosts()
+        """Update all components after nodes or runners have changed."""
+        homes_changed = self._state.take_hosts()
         self.slot_home.rebuild()
         pools = {entry.runner.pool for entry in self._state.table.entries()}
         self.gossiper.set_pools(pools)
-        if moved:
-            # New homes know nothing of what already runs until they are told.
+        if homes_changed:
+            # New home nodes learn of the slots in use only from renewals.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
 
-    def _make_slots(self) -> None:
+    def _create_slot_components(self) -> None:
         state = self._state
         self.slot_home = SlotHome(
             own_id=state.config.node_id,
@@ -121,7 +121,7 @@
             timeout_ms=self._config.slot_timeout_ms,
         )
 
-    def _make_claims(self) -> None:
+    def _create_claim_components(self) -> None:
         state = self._state
         config = self._config
         self.claim_home = ClaimHome(
@@ -142,17 +142,17 @@
             timeout_ms=config.claim_timeout_ms,
         )
 
-    def _make_fleet(self) -> None:
+    def _create_fleet_components(self) -> None:
         state = self._state
         self.gossiper = Gossiper(
             socket=self.socket,
             membership=state.membership,
             mean_load=state.mean_load,
-            settings_version=lambda: self.keeper.log.version,
-            on_newer_settings=self.keeper.fetch_newer,
+            settings_version=lambda: self.settings.log.version,
+            on_newer_settings=self.settings.fetch_newer,
             on_change=self.apply_hosts,
         )
-        self.hosts = HostWatcher(
+        self.host_watcher = HostWatcher(
             host_list=self.platform,
             membership=state.membership,
             table=state.table,
@@ -160,16 +160,16 @@
             on_change=self.apply_hosts,
         )
 
-    def _subscribe(self) -> None:
+    def _start_timers(self) -> None:
         gossip_ms = self._config.gossip_interval_ms
-        plan = (
+        schedule = (
             ("gossip", gossip_ms, self.gossiper.run_round),
             ("renew", RENEWAL_INTERVAL_MS, self.broker.renew),
             ("expire", EXPIRY_INTERVAL_MS, self.slot_home.expire),
-            ("waiting", SERVE_WAITING_INTERVAL_MS, self.slot_home.serve_queues),
+            ("waiting", QUEUE_INTERVAL_MS, self.slot_home.serve_queues),
             ("probe", PROBE_INTERVAL_MS, self.prober.run_round),
-            ("poll", SETTINGS_POLL_MS, self.keeper.poll),
-            ("snapshot", SNAPSHOT_INTERVAL_MS, self.keeper.write_snapshot),
+            ("poll", SETTINGS_POLL_INTERVAL_MS, self.settings.poll),
+            ("snapshot", SNAPSHOT_INTERVAL_MS, self.settings.write_snapshot),
         )
-        for name, interval_ms, call in plan:
+        for name, interval_ms, call in schedule:
             self.timers.subscribe(name, interval_ms=interval_ms, call=call)
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -1,4 +1,4 @@
-"""The state of one node: decisions of the core, put together, without any I/O."""
+"""The state of one node, composed of types of the core; performs no I/O."""
 
 from __future__ import annotations
 
@@ -26,20 +26,23 @@
 
     from clementineyoke_node.config.node_place import NodePlace
 
-WATCHERS_A_ZONE = 2
-MANY_ZONES = 4
-"""From this many zones on, one watcher a zone: each change is a call of every watcher,
-and a zone whose only one is cut off hears of changes by gossip from the others."""
-SNAPSHOT_DUTY = "settings snapshot"
+WATCHERS_PER_ZONE = 2
+MIN_ZONES_FOR_SINGLE_WATCHERS = 4
+"""Number of zones from which one watcher per zone suffices.
+
+Each change costs one store call per watcher. A zone whose only watcher cannot reach the
+store receives changes by gossip from the other zones.
+"""
+SNAPSHOT_WRITER_KEY = "settings snapshot"
 MS_PER_S = 1000
 
 
 class NodeState:
-    """Own what a node believes and counts."""
+    """Own a node's view of the fleet, its counters and its metrics."""
 
     def __init__(self, *, config: NodePlace) -> None:
         self.config = config
-        own = Node(
+        local_node = Node(
             config.node_id,
             config.address,
             config.caller_port,
@@ -51,18 +54,18 @@
         incarnation = TimerService.wall_ms() // MS_PER_S
         self.rng = Random()
         self.membership = Membership(
-            local_node=own, incarnation=incarnation, rng=self.rng
+            local_node=local_node, incarnation=incarnation, rng=self.rng
         )
         self.table = RunnerTable()
         self.cold = ColdRunners()
         self.rings = PoolRings(table=self.table, region=config.region)
         self.region_homes = RunnerHomes()
-        """Homes of runners: in the region, where an answer takes a millisecond."""
+        """Home nodes of runners; within the region a response takes a millisecond."""
         self.fleet_homes = HomeNodes()
-        """Homes of budgets and claims, which are the same for all regions.
+        """Home nodes of budgets and claims, the same for all regions.
 
-        With a home in each region a team would get its rate once a region, and the
-        homes of one claim shard would refuse each other's writes.
+        With one home node per region, a team would get its rate once in each region,
+        and claim writes of the home nodes of one shard would conflict.
         """
         self.mean_load = MeanLoadEstimator()
         self.call_rate = CallRate()
@@ -72,11 +75,11 @@
         self.metrics = Metrics()
         self.in_flight = InFlight(max_requests=config.max_requests)
         self._watchers = choose_watchers(self.membership.alive())
-        """Worked out anew when hosts change: at 410 nodes it takes 0.25 ms, and it is
-        asked for some forty times a second."""
+        """Computed when hosts change: it takes 0.25 ms at 410 nodes and is read about
+        forty times a second."""
 
     def take_hosts(self) -> bool:
-        """Work out rings and homes anew; return whether runners' homes moved."""
+        """Rebuild rings and home nodes; return whether a runner's home node changed."""
         self.rings.rebuild()
         self._watchers = choose_watchers(self.membership.alive())
         self.fleet_homes.set_nodes(self._alive_ids(region=None))
@@ -86,33 +89,38 @@
         )
 
     def has_watch_duty(self) -> bool:
-        """Whether this node is one of its zone's watchers of the platform."""
+        """Return whether this node watches the platform for its zone."""
         return self.config.node_id in self._watchers
 
     def count_watchers(self) -> int:
-        """Return how many nodes of the fleet watch the platform."""
+        """Return the number of nodes that watch the platform."""
         return len(self._watchers)
 
-    def has_snapshot_duty(self) -> bool:
-        """Whether this node is to write snapshots of settings."""
-        return self.fleet_homes.home_of(SNAPSHOT_DUTY) == self.config.node_id
+    def is_snapshot_writer(self) -> bool:
+        """Return whether this node writes the snapshots of settings."""
+        return self.fleet_homes.home_of(SNAPSHOT_WRITER_KEY) == self.config.node_id
 
     def _alive_ids(self, *, region: str | None) -> list[str]:
         return [node.node_id for node in self.membership.alive(region=region)]
 
 
 def choose_watchers(nodes: Iterable[Node]) -> set[str]:
-    """Return who watches the store: each zone's strongest hosts, which tell it."""
+    """Return the ids of the nodes that watch the store for the others.
+
+    These are the nodes with the highest capacity in each zone.
+    """
     zones: dict[str, list[Node]] = {}
     for node in nodes:
         zones.setdefault(node.availability_zone, []).append(node)
-    wanted = 1 if len(zones) >= MANY_ZONES else WATCHERS_A_ZONE
+    watcher_count = (
+        1 if len(zones) >= MIN_ZONES_FOR_SINGLE_WATCHERS else WATCHERS_PER_ZONE
+    )
     return {
         node.node_id
         for zone_nodes in zones.values()
-        for node in sorted(zone_nodes, key=_by_strength)[:wanted]
+        for node in sorted(zone_nodes, key=_capacity_order)[:watcher_count]
     }
 
 
-def _by_strength(node: Node) -> tuple[int, str]:
+def _capacity_order(node: Node) -> tuple[int, str]:
     return -node.calls_per_s, node.node_id
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
@@ -1,4 +1,4 @@
-"""What a node tells of itself: the status document and the metrics."""
+"""A node's status document and the update of its gauges."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 def describe_node(state: NodeState, io: NodeIo, *, is_leaving: bool) -> dict[str, Any]:
     """Return the status document for operators."""
-    members = state.membership
+    membership = state.membership
     return {
         "node": state.config.node_id,
-        "started": members.initial_incarnation,
+        "started": membership.initial_incarnation,
         "leaving": is_leaving,
-        "settings_version": io.keeper.log.version,
+        "settings_version": io.settings.log.version,
         "in_flight": state.in_flight.count,
         "slots_held": io.broker.lease_count(),
         "claim_writes": io.claim_home.writes,
         "control_sent_bytes": dict(io.socket.sent_bytes),
         "control_received_bytes": io.socket.received_bytes,
         "nodes": {
-            node.node_id: members.state(node.node_id).name.lower()
-            for node in members.nodes()
+            node.node_id: membership.state(node.node_id).name.lower()
+            for node in membership.nodes()
         },
         "runners": {
             entry.runner.runner_id: {
@@ -39,10 +39,10 @@
 
 
 def copy_metrics(state: NodeState, io: NodeIo) -> None:
-    """Bring the gauges up to date."""
+    """Set the gauges to the current values."""
     metrics = state.metrics
     metrics.in_flight.set({}, state.in_flight.count)
-    metrics.settings_version.set({}, io.keeper.log.version)
+    metrics.settings_version.set({}, io.settings.log.version)
     metrics.claim_writes.set({}, io.claim_home.writes)
     for kind, sent in io.socket.sent_bytes.items():
         metrics.control_bytes.set({"kind": kind}, sent)
--- a/packages/clementineyoke-node/src/clementineyoke_node/timers/__init__.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/timers/__init__.py
@@ -1,3 +1,3 @@
-"""The timer service."""
+"""Periodic work and background tasks."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-node/src/clementineyoke_node/timers/background_tasks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/timers/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that an object owns; none ends unseen."""
+"""Background tasks whose exceptions are logged."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class BackgroundTasks:
-    """Own tasks; cancels what is left when closed.
+    """Own tasks, log their exceptions and cancel the remaining ones on close.
 
-    asyncio keeps an unawaited task's exception to itself: a watch that died of a bug
-    would be seen only as a node that slowly goes stale. Here it is an error event.
+    asyncio does not raise the exception of a task that is not awaited: a watch that
+    failed with a bug would show only as a node whose state slowly becomes stale.
     """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def __aenter__(self) -> Self:
-        """Begin to own tasks."""
+        """Return the object; tasks are started by ``spawn``."""
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Cancel the tasks and wait until they have ended."""
+        """Cancel the tasks and wait for them to end."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def spawn(self, work: Coroutine[Any, Any, Any], *, name: str) -> None:
-        """Run something in a task of its own."""
+        """Run a coroutine in a new task."""
         task = asyncio.create_task(work, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_done)
 
-    def _note_end(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
--- a/packages/clementineyoke-node/src/clementineyoke_node/timers/timer_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/timers/timer_service.py
@@ -1,4 +1,4 @@
-"""The one place that runs periodic work; parts subscribe to it."""
+"""Runs the periodic work of all components."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TimerService:
-    """Own a task for each subscription; ends them all when it is closed."""
+    """Own one task per subscription; cancels all on close."""
 
     def __init__(self) -> None:
         self._tasks = BackgroundTasks()
@@ -34,23 +34,23 @@
     def subscribe(
         self, name: str, *, interval_ms: float, call: Callable[[], Awaitable[None]]
     ) -> None:
-        """Call something again and again, with a pause after each call."""
+        """Call a function repeatedly, pausing for the interval after each call."""
         self._tasks.spawn(self._repeat(name, interval_ms, call), name=name)
 
     async def __aenter__(self) -> Self:
-        """Begin to own tasks."""
+        """Return the service; timers are started by ``subscribe``."""
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End every subscription."""
+        """Cancel all subscriptions."""
         await self._tasks.__aexit__(*exc_info)
 
     async def _repeat(
         self, name: str, interval_ms: float, call: Callable[[], Awaitable[None]]
     ) -> None:
         while True:
-            # A subscriber's fault must not end its timer silently: what it guards
-            # (renewals, probes) would stop, seen only as slow decay of the node.
+            # An exception must not end the timer silently: renewals or probes would
+            # stop, which shows only as a slow degradation of the node.
             try:
                 await call()
             except Exception as error:
--- a/packages/clementineyoke-node/tests/callers/graceful_stop.feature
+++ b/packages/clementineyoke-node/tests/callers/graceful_stop.feature
@@ -1,24 +1,22 @@
-Feature: A planned stop cuts no request
+Feature: A graceful stop aborts no request
 
-  Scenario: A stream is in flight when the node is told to stop
-    # Symptom: an answer ends in the middle at every roll-out.
-    # Sequence: the node gets its signal while a long stream runs.
-    # Cause: closing the listener and the connections together.
-    Given a node with stand-ins
-    When a stream of 100 tokens begins and the node is told to stop
-    Then the stream is answered whole
-    And a caller with an old address was answered during the linger
+  Scenario: The node is stopped while a stream is in flight
+    # Responses would be truncated at every roll-out if a node that gets its stop signal
+    # during a long stream closed the listener and the connections together.
+    Given a node with simulated runners
+    When a stream of 100 tokens starts and the node is stopped
+    Then the chat's stream is complete
+    And a caller with a cached address was served during the linger time
     And afterwards the node refuses connections
 
-  Scenario: A planned stop during an outage of the platform
-    # Symptom: a node takes two minutes to stop though nothing is in flight.
-    # Sequence: a claim's report waits for the platform; the node is told to stop.
-    # Cause: the stop waited for reports as long as for requests.
-    Given a node with stand-ins
-    When the platform is away and a keyed call is sent
-    And the node is told to stop
-    Then no more than 10 of its 120 seconds have passed
+  Scenario: The node is stopped during an outage of the platform
+    # A stop would take two minutes with nothing in flight if it waited as long for a
+    # claim's report, which needs the platform, as for requests.
+    Given a node with simulated runners
+    When the platform is unreachable and a call with an idempotency key is sent
+    And the node is stopped
+    Then the stop takes at most 10 of the 120 seconds of its deadline
 
   Scenario: An operator's call without the key
-    Given a node with stand-ins
+    Given a node with simulated runners
     Then every operator call without the key is refused
--- a/packages/clementineyoke-node/tests/callers/isolation.feature
+++ b/packages/clementineyoke-node/tests/callers/isolation.feature
@@ -1,79 +1,75 @@
-Feature: Each caller gets its own whole answer, or is told the truth
+Feature: Each caller receives its own complete response or a correct outcome
 
-  Scenario: A runner breaks after it executed a PUT
-    # Symptom: one score counted twice.
-    # Sequence: the runner executes, the connection breaks before the answer's head.
-    # Cause: the HTTP client sends PUT again on its own.
-    Given a node with stand-ins
+  Scenario: A runner breaks the connection after executing a PUT
+    # A score would be counted twice if the HTTP client resent the PUT on its own after
+    # the connection broke before the response's head.
+    Given a node with simulated runners
     When the service breaks the connection of a non-idempotent PUT after executing it
     Then the call was executed once
-    And the caller is told unknown
-
-  Scenario: A chat's runner breaks and there is no other
-    # Symptom: "not run" of a chat that a runner had begun.
-    # Sequence: the runner executes and breaks; the retry finds no runner.
-    # Cause: the retry's own fate was told as the request's.
-    Given a node with stand-ins and 1 engine
-    When every engine breaks each connection after executing
+    And the caller receives the outcome unknown
+
+  Scenario: A chat's runner breaks the connection and there is no other runner
+    # A chat that a runner had started would be reported as "not run" if the outcome of
+    # its retry, which finds no runner, were reported for the whole request.
+    Given a node with simulated runners and 1 engine
+    When all engines break each connection after executing
     And a chat is sent
-    Then the caller is told unknown
-
-  Scenario: A runner answers with another request's id
-    # Symptom: one caller reads another's text.
-    # Sequence: a runner mixes up two answers.
-    # Cause: only the echoed id tells whose answer it is.
-    Given a node with stand-ins
-    When the engine of a chat crosses its next answer
-    And the chat comes back
-    Then the caller gets its own whole answer
-    And the crossed answer was asked for again elsewhere
-
-  Scenario: A stream that ends in order but too early
-    # Symptom: half a ruling is taken for the whole.
-    # Sequence: the runner ends the chunked body without the stream's end mark.
-    # Cause: the body's framing says nothing about the stream's completeness.
-    Given a node with stand-ins
-    When the engines leave out the end mark
-    And a chat is sent whose answer breaks off
-    Then the caller sees the break
-
-  Scenario: A stream that breaks in the middle
-    Given a node with stand-ins
+    Then the caller receives the outcome unknown
+
+  Scenario: A runner responds with another request's id
+    # A caller would read another's text if a runner mixed up two responses and the
+    # echoed id, the only sign of whose response it is, were not checked.
+    Given a node with simulated runners
+    When the engine of a chat will send its next response with another request's id
+    And the chat sends its next request
+    Then the caller receives its own complete response
+    And the request was retried at another engine
+
+  Scenario: A stream ends cleanly but too early
+    # Half a response would pass for all of it if a runner ended the chunked body but
+    # left out the stream's end mark: the framing does not show that it is complete.
+    Given a node with simulated runners
+    When the engines omit the end mark
+    And a chat is sent and its response is truncated
+    Then the caller sees an aborted connection
+
+  Scenario: A stream breaks in the middle
+    Given a node with simulated runners
     When the engines break streams in the middle
-    And a chat is sent whose answer breaks off
-    Then the caller sees the break
+    And a chat is sent and its response is truncated
+    Then the caller sees an aborted connection
 
-  Scenario: A runner that nothing listens behind
-    Given a node with stand-ins and 1 engine
-    When a dead engine is listed beside it
-    Then 20 chats are answered whole
-    And the dead engine is quarantined
+  Scenario: Nothing listens at a runner's address
+    Given a node with simulated runners and 1 engine
+    When an engine without a listener is added to the host list
+    Then 20 chats receive complete responses
+    And the engine without a listener is quarantined
 
-  Scenario: A caller that goes away ends its runner's work
-    Given a node with stand-ins and 1 engine
+  Scenario: A caller's disconnect cancels its work on the runner
+    Given a node with simulated runners and 1 engine
     When a caller closes its stream after the first token
     Then the engine counts a cancelled chat
     And no slot is held
 
-  Scenario: A keyed call is repeated
-    Given a node with stand-ins
-    When a keyed call is sent 3 times at once and once more
+  Scenario: A call with an idempotency key is repeated
+    Given a node with simulated runners
+    When a call with an idempotency key is sent 3 times concurrently and once more
     Then the call was executed once
-    And the last caller gets the kept answer
+    And the last caller receives the stored response
     And the same key with another body is refused
 
-  Scenario: The platform is away
-    Given a node with stand-ins
-    When the platform is away and a keyed call is sent
-    Then the caller is told not_run with a time to retry
+  Scenario: The platform is unreachable
+    Given a node with simulated runners
+    When the platform is unreachable and a call with an idempotency key is sent
+    Then the caller receives the outcome not_run and a retry time
     And the call was never executed
-    And a chat is still answered whole
+    And a chat still receives a complete response
 
-  Scenario Outline: Bad input gets a clear error and harms nobody
-    Given a node with stand-ins
+  Scenario Outline: Invalid input is refused and does not affect other requests
+    Given a node with simulated runners
     When a caller sends <input>
     Then it is refused with status <status> at step <step>
-    And a chat is still answered whole
+    And a chat still receives a complete response
 
     Examples:
       | input             | status | step         |
@@ -85,48 +81,43 @@
       | no key            | 401    | authenticate |
       | another model     | 403    | authorize    |
 
-  Scenario: More requests than the runners have slots
-    # Symptom: half of a burst is refused though slots come free within a moment.
-    # Sequence: 24 chats come at once before one engine of 16 slots.
-    # Cause: a request without a slot was refused at once instead of waiting its time.
-    Given a node with stand-ins and 1 engine
-    When 24 chats are sent at once
-    Then all 24 are answered whole
-    And the engine never ran more than 16 at once
+  Scenario: More requests than runner slots
+    # Half of a burst of 24 chats for an engine of 16 slots would be refused, though
+    # slots are soon free, if requests without a slot were not queued.
+    Given a node with simulated runners and 1 engine
+    When 24 chats are sent concurrently
+    Then all 24 receive complete responses
+    And the engine never ran more than 16 concurrently
     And no slot is held
 
-  Scenario: A runner says that it leaves before the list does
-    # Symptom: refused chats until the host list catches up, seconds later.
-    # Sequence: an engine begins to drain; the list still shows it live.
-    # Cause: only the list was asked; the runner's own answer is the first to know.
-    Given a node with stand-ins
-    When the engine of a chat begins to drain
-    And the chat comes back
-    Then the caller gets its own whole answer
-    And 10 more turns ask the draining engine no more
-
-  Scenario: A team has its own deadline at one model
-    # Symptom: settings at /group/team/model are accepted and do nothing.
-    # Sequence: a deadline is set there; a runner stalls.
-    # Cause: a request was bounded before its model was known, by its team alone.
-    Given a node with stand-ins
+  Scenario: A runner drains before the host list shows it
+    # Chats would be refused for seconds, until the host list shows the drain, if the
+    # runner's own response, which shows it first, were ignored.
+    Given a node with simulated runners
+    When the engine of a chat starts to drain
+    And the chat sends its next request
+    Then the caller receives its own complete response
+    And 10 more requests of the chat are not sent to the draining engine
+
+  Scenario: A team has its own deadline for one model
+    # Settings at /group/team/model would have no effect on a stalled runner if limits
+    # were applied by team alone, before the request's model is known.
+    Given a node with simulated runners
     When the engines stall for 1000 ms
-    Then the team with a deadline of 300 ms at the model is told unknown
-    And a chat is still answered whole
-
-  Scenario: A long answer to a keyed call
-    # Symptom: callers are told "unknown" of calls that ran and were answered.
-    # Sequence: a plain service sends its answer in two parts.
-    # Cause: one read of the answer took what had arrived for the whole.
-    Given a node with stand-ins
-    When the service pads its answers to 300000 bytes and a keyed call is sent
-    Then the whole padded answer arrives
+    Then the team with a deadline of 300 ms for the model receives the outcome unknown
+    And a chat still receives a complete response
+
+  Scenario: A long response to a call with an idempotency key
+    # The outcome of a completed call would be "unknown" if a single read took the first
+    # part of a response that a plain service sends in two parts for all of it.
+    Given a node with simulated runners
+    When the service pads its responses to 300000 bytes and a call with a key is sent
+    Then the complete padded response arrives
     And the call was executed once
 
   Scenario: A path with encoded characters
-    # Symptom: a call for one locker reaches another path, or gains a query.
-    # Sequence: a caller's path holds an encoded slash or question mark.
-    # Cause: the path was decoded on the way and encoded anew.
-    Given a node with stand-ins
+    # A call for one locker would reach another path, or gain a query, if a path with an
+    # encoded slash or question mark were decoded and encoded again.
+    Given a node with simulated runners
     When a plain call is sent to "lockers/a%2Fb%3Fc%20d?x=%26y"
-    Then the service was asked for "/lockers/a%2Fb%3Fc%20d?x=%26y"
+    Then the service received the path "/lockers/a%2Fb%3Fc%20d?x=%26y"
--- a/packages/clementineyoke-node/tests/environment.py
+++ b/packages/clementineyoke-node/tests/environment.py
@@ -8,7 +8,7 @@
 
 def before_all(context):
     log_as_json("CRITICAL")
-    # Scenarios break answers on purpose; aiohttp logs each abort with a traceback.
+    # Scenarios truncate responses on purpose; aiohttp logs each abort with a traceback.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
 
 
--- a/packages/clementineyoke-node/tests/node_state.feature
+++ b/packages/clementineyoke-node/tests/node_state.feature
@@ -1,15 +1,14 @@
-Feature: Which node is home of what
+Feature: Home nodes of budgets, claim shards and runners
 
-  Scenario: A team calls through two regions
-    # Symptom: a team gets its rate once in each region; claim writes conflict all day.
-    # Sequence: nodes of three regions each look for the home of one budget, one shard.
-    # Cause: homes were taken from the own region's nodes alone.
-    Given 6 nodes in 3 regions that know of one another
-    Then all of them name one home for each of 50 budgets and claim shards
-    And the home of a runner is in the runner's region
-    And one node has the duty to write snapshots
+  Scenario: Nodes of several regions choose the same home nodes
+    # A team would get its rate once per region, and claim writes would conflict, if a
+    # node chose home nodes for budgets and claim shards among its own region's nodes.
+    Given 6 nodes in 3 regions that know one another
+    Then all nodes choose the same home node for each of 50 budgets and claim shards
+    And the home node of a runner is in the runner's region
+    And exactly one node writes the snapshots of settings
 
-  Scenario: The home of a budget dies
-    Given 6 nodes in 3 regions that know of one another
-    When the home of a budget is rumoured down
-    Then all others name another home for it
+  Scenario: The home node of a budget goes down
+    Given 6 nodes in 3 regions that know one another
+    When the home node of a budget is reported down
+    Then all other nodes choose the same new home node for it
--- a/packages/clementineyoke-node/tests/steps/admin_steps.py
+++ b/packages/clementineyoke-node/tests/steps/admin_steps.py
@@ -7,12 +7,12 @@
 def get(context, path):
     async def call():
         url = context.fleet.admin_url + path
-        bearer = {"Authorization": f"Bearer {OPERATOR_KEY}"}
-        async with context.fleet.session.get(url, headers=bearer) as answer:
-            assert answer.status == 200, await answer.text()
-            if "json" in answer.content_type:
-                return await answer.json()
-            return await answer.text()
+        auth_headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
+        async with context.fleet.session.get(url, headers=auth_headers) as response:
+            assert response.status == 200, await response.text()
+            if "json" in response.content_type:
+                return await response.json()
+            return await response.text()
 
     return context.run(call())
 
@@ -21,32 +21,34 @@
 def send_twice(context, chat_id):
     context.chat_id = chat_id
     for _ in range(2):
-        context.answer = context.run(context.fleet.chat(X_Chat_Id=chat_id))
-        assert context.answer[0] == 200
+        context.response = context.run(context.fleet.chat(X_Chat_Id=chat_id))
+        assert context.response[0] == 200
 
 
-@when('every engine drains and the chat "{chat_id}" is refused')
+@when('all engines drain and the chat "{chat_id}" is refused')
 def refuse(context, chat_id):
     context.chat_id = chat_id
     for engine in context.fleet.engines:
         engine.faults.draining = True
     for _ in range(2):
-        context.answer = context.run(context.fleet.chat(X_Chat_Id=chat_id))
-    assert context.answer[0] == 503
+        context.response = context.run(context.fleet.chat(X_Chat_Id=chat_id))
+    assert context.response[0] == 503
 
 
-@then("its chat id explains the refusal with one decision")
+@then("its chat id returns exactly one decision for the refusal")
 def check_refusal(context):
-    request_id = context.answer[1]["X-Request-Id"]
-    found = get(context, f"/admin/explain?id={context.chat_id}")["decisions"]
-    mine = [d for d in found if d["request_id"] == request_id]
-    assert [d["event"] for d in mine] == ["route_refused"], mine
-    assert mine[0]["fields"]["step"] == "acquire_slot"
+    request_id = context.response[1]["X-Request-Id"]
+    decisions = get(context, f"/admin/explain?id={context.chat_id}")["decisions"]
+    refusals = [
+        decision for decision in decisions if decision["request_id"] == request_id
+    ]
+    assert [decision["event"] for decision in refusals] == ["route_refused"], refusals
+    assert refusals[0]["fields"]["step"] == "acquire_slot"
 
 
-@then("its request id and its chat id explain where it went and why")
+@then("its request id and its chat id return the routing decisions and reasons")
 def check_explained(context):
-    headers = context.answer[1]
+    headers = context.response[1]
     by_chat = get(context, f"/admin/explain?id={context.chat_id}")["decisions"]
     assert [decision["event"] for decision in by_chat] == ["routed", "routed"]
     request_id = headers["X-Request-Id"]
@@ -57,7 +59,7 @@
     assert (fields["reason"], fields["rank"]) == ("affinity", 0)
 
 
-@then("the status names nodes, runners with state and home, and the version")
+@then("the status lists nodes, runners with state and home node, and the version")
 def check_status(context):
     status = get(context, "/admin/status")
     assert status["nodes"] == {"node-1": "alive"}
@@ -67,7 +69,9 @@
         assert (runner["state"], runner["home"]) == ("ready", "node-1")
 
 
-@then("the metrics count {count:d} requests that ran and name every runner's slots")
+@then(
+    "the metrics count {count:d} requests that ran and list the slots of every runner"
+)
 def check_metrics(context, count):
     context.run(context.fleet.node._copy_metrics())
     text = get(context, "/metrics")
--- a/packages/clementineyoke-node/tests/steps/one_node.py
+++ b/packages/clementineyoke-node/tests/steps/one_node.py
@@ -1,4 +1,4 @@
-"""One real node with stand-ins on loopback, all in the test's event loop."""
+"""A node with simulated runners and platform on loopback, in the test's event loop."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 
     async def __aenter__(self):
         platform_port = await self._serve(self.platform.application())
-        await self._list_runners(self.engines, "engine", MODEL)
-        await self._list_runners(self.services, "service", SERVICE)
+        await self._register_runners(self.engines, "engine", MODEL)
+        await self._register_runners(self.services, "service", SERVICE)
         caller_port, peer_port = free_ports(2)
         document = {
             "node_id": "node-1",
@@ -61,7 +61,9 @@
             "stop_linger_ms": 100,
             **self._config,
         }
-        await self._list("node-1", "entry", caller_port, "", peer_port=peer_port)
+        await self._register_host(
+            "node-1", "entry", caller_port, "", peer_port=peer_port
+        )
         self.caller_url = f"http://{HOST}:{caller_port}"
         self.admin_url = f"http://{HOST}:{peer_port}"
         self.node = NodeService(config=parse_node_config(document, source="test"))
@@ -98,13 +100,17 @@
         return await self.send(method, path, data=mark, **headers)
 
     async def send(self, method, path, *, json=None, data=None, **headers):
-        """Return status, headers and the whole body, which must arrive whole."""
-        sent = {"Authorization": TEAM_KEY}
-        sent.update({k.replace("_", "-"): v for k, v in headers.items()})
+        """Return status, headers and body; raises if the body is truncated."""
+        request_headers = {"Authorization": TEAM_KEY}
+        request_headers.update({k.replace("_", "-"): v for k, v in headers.items()})
         async with self.session.request(
-            method, self.caller_url + path, json=json, data=data, headers=sent
-        ) as answer:
-            return answer.status, answer.headers, await answer.read()
+            method,
+            self.caller_url + path,
+            json=json,
+            data=data,
+            headers=request_headers,
+        ) as response:
+            return response.status, response.headers, await response.read()
 
     async def _serve(self, app):
         runner = web.AppRunner(app, handler_cancellation=True)
@@ -114,12 +120,12 @@
         await web.TCPSite(runner, HOST, port).start()
         return port
 
-    async def _list_runners(self, runners, role, pool):
+    async def _register_runners(self, runners, role, pool):
         for number, runner in enumerate(runners):
             port = await self._serve(runner.application())
-            await self._list(f"{role}-{number}", role, port, pool)
+            await self._register_host(f"{role}-{number}", role, port, pool)
 
-    async def _list(self, name, role, port, pool, peer_port=0, state="live"):
+    async def _register_host(self, name, role, port, pool, peer_port=0, state="live"):
         host = {
             "host": name,
             "role": role,
@@ -134,25 +140,25 @@
         }
         await self.platform.hosts.put(host)
 
-    async def list_dead_engine(self, name):
-        """List a live engine behind whose port nothing listens."""
-        await self._list(name, "engine", *free_ports(1), MODEL)
+    async def register_dead_engine(self, name):
+        """Register a live engine at a port where nothing listens."""
+        await self._register_host(name, "engine", *free_ports(1), MODEL)
 
     async def _apply_settings(self):
         body = {"author": "t", "note": "", "based_on": 0, "dry_run": False}
         body["edits"] = SETTINGS
         url = f"{self.admin_url}/admin/settings"
-        bearer = {"Authorization": f"Bearer {OPERATOR_KEY}"}
-        async with self.session.post(url, json=body, headers=bearer) as answer:
-            assert answer.status == 200, await answer.text()
-        await self.until(self._is_ready)
+        auth_headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
+        async with self.session.post(url, json=body, headers=auth_headers) as response:
+            assert response.status == 200, await response.text()
+        await self.wait_until(self._is_ready)
 
     async def _is_ready(self):
-        async with self.session.get(f"{self.admin_url}/ready") as answer:
-            return answer.status == 200
+        async with self.session.get(f"{self.admin_url}/ready") as response:
+            return response.status == 200
 
-    async def until(self, is_so):
-        """Wait for something that must come about; bounded by the test's patience."""
+    async def wait_until(self, condition):
+        """Wait until a condition holds; raises ``TimeoutError`` after 20 s."""
         async with asyncio.timeout(20):
-            while not await is_so():
+            while not await condition():
                 await asyncio.sleep(0.01)
