--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -74,7 +74,7 @@
         app.router.add_get("/metrics", self._render_metrics)
         app.router.add_get(CHANGES_PATH, self._peer_changes)
         app.router.add_get(SNAPSHOT_PATH, self._peer_snapshot)
-        app.router.add_get("/admin/status", self._require_key(self._status_page))
+        app.router.add_get("/admin/status", self._require_key(self._get_status))
         app.router.add_get("/admin/explain", self._require_key(self._explain))
         app.router.add_get("/admin/settings", self._require_key(self._get_settings))
         app.router.add_get("/admin/settings/history", self._require_key(self._history))
@@ -124,7 +124,7 @@
             )
         return web.Response(body=encode_snapshot(log.snapshot(), seal=self._seal))
 
-    async def _status_page(self, request: web.Request) -> web.StreamResponse:
+    async def _get_status(self, request: web.Request) -> web.StreamResponse:
         return web.json_response(self._status())
 
     async def _explain(self, request: web.Request) -> web.StreamResponse:
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/edge_config.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/edge_config.py
@@ -61,7 +61,7 @@
     link_mbps: float | None = None
     """Bandwidth of the host's link; None if unknown."""
     linger_ms: int = 2_600
-    """How long a draining node still accepts calls, from callers that have cached its
+    """How long a draining node still accepts calls from callers that have cached its
     address. Some callers cache addresses with a lifetime of one second for three."""
     log_level: str = "INFO"
     slot_timeout_ms: int = 25
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
@@ -23,7 +23,7 @@
 def wait_for_config(
     path: str,
     *,
-    attempts: int = MAX_START_ATTEMPTS,
+    max_attempts: int = MAX_START_ATTEMPTS,
     pause_s: float = START_RETRY_PAUSE_S,
 ) -> EdgeConfig:
     """Read the settings at startup; raises ``ConfigError`` after the last attempt.
@@ -32,7 +32,7 @@
     started at the same time. If the node exited then, the additional start would make
     the host ready seconds after the others.
     """
-    for _ in range(attempts - 1):
+    for _ in range(max_attempts - 1):
         try:
             return load_edge_config(path)
         except ConfigError as error:
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -171,5 +171,5 @@
             ("poll", SETTINGS_POLL_INTERVAL_MS, self.settings.poll),
             ("snapshot", SNAPSHOT_INTERVAL_MS, self.settings.write_snapshot),
         )
-        for name, interval_ms, call in schedule:
-            self.timers.subscribe(name, interval_ms=interval_ms, call=call)
+        for name, interval_ms, callback in schedule:
+            self.timers.subscribe(name, interval_ms=interval_ms, call=callback)
--- a/packages/clementineyoke-node/src/clementineyoke_node/timers/background_tasks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/timers/background_tasks.py
@@ -32,9 +32,9 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def spawn(self, work: Coroutine[Any, Any, Any], *, name: str) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any], *, name: str) -> None:
         """Run a coroutine in a new task."""
-        task = asyncio.create_task(work, name=name)
+        task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
--- a/packages/clementineyoke-node/tests/steps/one_node.py
+++ b/packages/clementineyoke-node/tests/steps/one_node.py
@@ -93,11 +93,11 @@
         }
         return await self.send("POST", "/v1/chat/completions", json=body, **headers)
 
-    async def post(self, mark, *, method="POST", key=None, **headers):
+    async def post(self, content, *, method="POST", key=None, **headers):
         if key is not None:
             headers["Idempotency-Key"] = key
         path = f"/v1/services/{SERVICE}/post"
-        return await self.send(method, path, data=mark, **headers)
+        return await self.send(method, path, data=content, **headers)
 
     async def send(self, method, path, *, json=None, data=None, **headers):
         """Return status, headers and body; raises if the body is truncated."""
