--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
@@ -76,7 +76,7 @@
     async def list_all(self, kind: str, *, may_be_old: bool = False) -> EntryList:
         """Return all objects of a kind, read page by page.
 
-        With ``may_be_old`` the list may be some seconds old and costs a tenth.
+        A stale list may be some seconds old and costs a tenth.
         """
         entries: list[StoredEntry] = []
         revision = 0
