--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/address_handler.py
@@ -52,7 +52,7 @@
         """
         team = caller.team_path
         region = self._membership.local_node.region
-        answer = self._steering.choose_nodes(
+        selection = self._steering.choose_nodes(
             team=team,
             team_rate_per_s=self._settings.log.tree.value(team, "rate_per_s"),
             alive=self._membership.alive(region=region),
@@ -67,9 +67,9 @@
                     port=node.caller_port,
                     availability_zone=node.availability_zone,
                 )
-                for node in answer.nodes
+                for node in selection.nodes
             ],
-            keep_ms=answer.keep_ms,
+            keep_ms=selection.keep_ms,
         )
         return web.json_response(body)
 
