--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/answer_relay.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/answer_relay.py
@@ -58,7 +58,7 @@
         raise TruncatedAnswerError(
             step="relay",
             peer=runner.runner_id,
-            reason="stream ended without its end mark",
+            reason="the stream has no end mark",
         )
     await response.write_eof()
     return response
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/state_decoder.py
@@ -96,7 +96,7 @@
 
 def _require_text(value: Any) -> str:
     if not isinstance(value, str):
-        message = f"{value!r} is not a string"
+        message = f"{value!r} is no text"
         raise TypeError(message)
     return value
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
@@ -128,9 +128,7 @@
     ) -> bytes:
         step = f"{method} {path}"
         if self._session is None:
-            raise StoreError(
-                step=step, peer=self._address, reason="store client is closed"
-            )
+            raise StoreError(step=step, peer=self._address, reason="is closed")
         self.calls += 1
         timeout = aiohttp.ClientTimeout(
             total=(wait_ms + WATCH_SLACK_MS if wait_ms else CALL_TIMEOUT_MS) / MS_PER_S,
