--- a/packages/clementineyoke-cli/tests/steps/commands_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/commands_steps.py
@@ -49,7 +49,7 @@
     api = AdminApi(
         key_hashes=[hash_key(KEY)],
         seal=Seal(keys=["peer"]),
-        keeper=settings,
+        settings=settings,
         writer=SettingsWriter(objects=objects, settings=settings, author_node="node"),
         decisions=DecisionRing(),
         metrics=Metrics(),
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -179,7 +179,7 @@
     Mutation(
         "a caller sets what only the system may set",
         f"{NODE}/src/clementineyoke_node/platform/call_decoder.py",
-        "if name.lower() not in names.ONLY_OURS",
+        "if name.lower() not in names.RESERVED_HEADERS",
         "if True",
         CALLS,
     ),
