--- a/packages/clementineyoke-cli/tests/environment.py
+++ b/packages/clementineyoke-cli/tests/environment.py
@@ -5,11 +5,11 @@
 import tempfile
 from pathlib import Path
 
-from clementineyoke_wire.log_sink import log_as_json
+from clementineyoke_wire.log_sink import configure_stream_logging
 
 
 def before_all(context):
-    log_as_json("CRITICAL")
+    configure_stream_logging("CRITICAL")
     logging.getLogger("aiohttp.access").setLevel(logging.ERROR)
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -9,7 +9,7 @@
 from msgspec import DecodeError, json
 
 from clementineyoke_node.callers.authenticator import matches_any_hash
-from clementineyoke_node.metrics_page import answer_with_metrics
+from clementineyoke_node.metrics_page import metrics_response
 from clementineyoke_node.settings.peer_settings import (
     CHANGES_PATH,
     SNAPSHOT_PATH,
@@ -102,7 +102,7 @@
         return web.json_response({"ready": ready}, status=200 if ready else 503)
 
     async def _render_metrics(self, request: web.Request) -> web.StreamResponse:
-        return answer_with_metrics(request, self._metrics)
+        return metrics_response(request, self._metrics)
 
     async def _peer_changes(self, request: web.Request) -> web.StreamResponse:
         after = request.query.get("after", "")
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
@@ -58,7 +58,7 @@
         async def guarded(request: web.Request) -> web.StreamResponse:
             request_id = uuid.uuid4().hex
             received_ms = self._timers.now_ms()
-            with self._in_flight.one():
+            with self._in_flight.track():
                 outcome, response = await self._respond(request, request_id, handler)
             if self.is_leaving and not response.prepared:
                 response.force_close()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/in_flight.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/in_flight.py
@@ -30,7 +30,7 @@
         return self._count >= self._max_requests
 
     @contextmanager
-    def one(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one request until the context ends."""
         self._count += 1
         self._idle.clear()
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
@@ -144,7 +144,7 @@
                 "Content-Type": decision.answer.content_type,
                 headers.REQUEST_ID: request_id,
                 headers.OUTCOME: Outcome.RAN.value,
-                headers.REPEATED: "1",
+                headers.REPEATED_ANSWER: "1",
             },
         )
     raise _claim_refused(decision.verdict)
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
@@ -20,11 +20,11 @@
 them: a writer has five seconds to finish."""
 
 
-def wait_for_config(
+def load_config_with_retries(
     path: str,
     *,
     max_attempts: int = MAX_START_ATTEMPTS,
-    pause_s: float = START_RETRY_PAUSE_S,
+    retry_pause_s: float = START_RETRY_PAUSE_S,
 ) -> EdgeConfig:
     """Read the settings at startup; raises ``ConfigError`` after the last attempt.
 
@@ -37,7 +37,7 @@
             return load_edge_config(path)
         except ConfigError as error:
             log_event(Event.SETTINGS_REFUSED, step=error.step, reason=error.reason)
-            time.sleep(pause_s)
+            time.sleep(retry_pause_s)
     return load_edge_config(path)
 
 
@@ -70,7 +70,7 @@
             self._config = config
             self._on_change(config)
 
-    async def check(self) -> None:
+    async def reload_if_modified(self) -> None:
         """Reload the file if it was modified since it was last read."""
         if self._read_modified_ns() != self._modified_ns:
             self.reload()
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
@@ -26,7 +26,7 @@
     def __init__(self, *, addresses: list[str]) -> None:
         self._addresses = addresses
         self._sockets: dict[str, socket.socket] = {}
-        self.is_stop_ordered = False
+        self.is_stop_requested = False
         """Whether a stop was requested before the node could handle the signal."""
 
     def __enter__(self) -> EarlyStart:
@@ -43,12 +43,12 @@
         for listener in self._sockets.values():
             listener.close()
 
-    def take(self, address: str) -> socket.socket | None:
+    def take_listener(self, address: str) -> socket.socket | None:
         """Return the socket for IP:PORT, or None if it could not be opened early."""
         return self._sockets.pop(address, None)
 
     def _on_stop_signal(self, *signal_info: object) -> None:
-        self.is_stop_ordered = True
+        self.is_stop_requested = True
 
     def _open_listener(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -65,7 +65,7 @@
         self._sockets[address] = listener
 
 
-def door_addresses(arguments: list[str]) -> list[str]:
+def listener_addresses(arguments: list[str]) -> list[str]:
     """Return the IP:PORT of each listener that the command line names."""
     addresses: list[str] = []
     for argument in arguments:
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from clementineyoke_node.console.early_start import EarlyStart, door_addresses
+from clementineyoke_node.console.early_start import EarlyStart, listener_addresses
 
 
 def main() -> None:
@@ -13,7 +13,7 @@
     Loading takes some tenths of a second. With Python's default handlers a signal would
     end the process in that time, with exit status -1 or -15.
     """
-    with EarlyStart(addresses=door_addresses(sys.argv[1:])) as start:
+    with EarlyStart(addresses=listener_addresses(sys.argv[1:])) as start:
         # Imported here because loading this module takes most of the startup time.
         from clementineyoke_node.console import edge_process
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
@@ -11,10 +11,13 @@
 import uvloop
 
 from clementineyoke_node.config.config_error import ConfigError
-from clementineyoke_node.config.settings_file import SettingsFile, wait_for_config
+from clementineyoke_node.config.settings_file import (
+    SettingsFile,
+    load_config_with_retries,
+)
 from clementineyoke_node.edge.edge_service import EdgeService
 from clementineyoke_node.platform.names import SETTINGS_FILE_VARIABLE
-from clementineyoke_wire.log_sink import log_to_pipe
+from clementineyoke_wire.log_sink import configure_stdout_logging
 
 if TYPE_CHECKING:
     from clementineyoke_node.config.edge_config import EdgeConfig
@@ -30,13 +33,13 @@
 def run(start: EarlyStart) -> None:
     """Load the settings that the platform wrote, and serve until stopped."""
     path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
-    log_to_pipe(INITIAL_LOG_LEVEL, node=str(os.getpid()))
+    configure_stdout_logging(INITIAL_LOG_LEVEL, node=str(os.getpid()))
     try:
-        config = wait_for_config(path)
+        config = load_config_with_retries(path)
     except ConfigError as error:
         print(error, file=sys.stderr)
         raise SystemExit(EXIT_BAD_CONFIG) from error
-    log_to_pipe(config.log_level, node=config.node_id)
+    configure_stdout_logging(config.log_level, node=config.node_id)
     uvloop.run(_serve(config, path, start))
     _ignore_signals()
 
@@ -54,17 +57,19 @@
 
 async def _serve(config: EdgeConfig, path: str, start: EarlyStart) -> None:
     loop = asyncio.get_running_loop()
-    service = EdgeService(config=config, take_listener=start.take)
+    service = EdgeService(config=config, take_listener=start.take_listener)
     settings = SettingsFile(path=path, config=config, on_change=service.apply_config)
     # Set before any call is accepted: with the default handlers a signal would end the
     # process and abort its calls.
     loop.add_signal_handler(signal.SIGTERM, service.request_stop)
     loop.add_signal_handler(signal.SIGINT, service.request_stop)
     loop.add_signal_handler(signal.SIGHUP, settings.reload)
-    if start.is_stop_ordered:
+    if start.is_stop_requested:
         service.request_stop()
     async with service:
         service.io.timers.subscribe(
-            "settings", interval_ms=SETTINGS_CHECK_INTERVAL_MS, call=settings.check
+            "settings",
+            interval_ms=SETTINGS_CHECK_INTERVAL_MS,
+            callback=settings.reload_if_modified,
         )
         await service.run_until_stopped()
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/main.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/main.py
@@ -11,7 +11,7 @@
 from clementineyoke_node.config.config_error import ConfigError
 from clementineyoke_node.config.node_config import load_node_config
 from clementineyoke_node.node_service import NodeService
-from clementineyoke_wire.log_sink import log_as_json
+from clementineyoke_wire.log_sink import configure_stream_logging
 
 EXIT_BAD_CONFIG = 2
 SHUTDOWN_SLACK_S = 30.0
@@ -30,7 +30,7 @@
     except ConfigError as error:
         print(error, file=sys.stderr)
         raise SystemExit(EXIT_BAD_CONFIG) from error
-    log_as_json(node_config.log_level)
+    configure_stream_logging(node_config.log_level)
     service = NodeService(config=node_config)
     max_stop_s = (node_config.stop_deadline_ms + node_config.stop_linger_ms) / MS_PER_S
     # aiomisc's own signal handling may stop the loop from a callback while the loop is
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
@@ -13,7 +13,7 @@
 from clementineyoke_node.edge.overdue_timer import OverdueTimer
 from clementineyoke_node.edge.response_checks import check_outcome, read_response
 from clementineyoke_node.edge.runner_timeout import RunnerTimeout
-from clementineyoke_node.platform.runner_codec import RunnerOrder
+from clementineyoke_node.platform.runner_codec import RoutingHeaders
 from clementineyoke_wire.events import Event
 
 if TYPE_CHECKING:
@@ -84,10 +84,10 @@
                 peer=runner.runner_id,
                 reason="no time left",
             )
-        order = RunnerOrder(
+        order = RoutingHeaders(
             runner_id=runner.runner_id,
             team=admitted.team,
-            left_ms=left_ms,
+            remaining_ms=left_ms,
             urgency=admitted.priority,
             last_event=stream.last_event_id,
             fetch_from=self._fetch_address(admitted, runner),
@@ -149,7 +149,7 @@
         *,
         started_ms: float,
     ) -> None:
-        if not response.head.has_proof:
+        if not response.head.has_signature:
             raise AttemptError(
                 outcome=AttemptOutcome.LOST,
                 step="check_proof",
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
@@ -47,7 +47,7 @@
         metrics: Metrics,
         rng: Random,
         membership: Membership,
-        start_wait: StartupWait,
+        startup_wait: StartupWait,
         call_rate: CallRate,
     ) -> None:
         self._view = view
@@ -58,7 +58,7 @@
         self._metrics = metrics
         self._rng = rng
         self._membership = membership
-        self._startup_wait = start_wait
+        self._startup_wait = startup_wait
         self._call_rate = call_rate
         self._active_connections: set[web.RequestHandler] = set()
 
@@ -77,7 +77,7 @@
         connection = request.protocol
         self._active_connections.add(connection)
         try:
-            with self._in_flight.one():
+            with self._in_flight.track():
                 response = await self._respond(request, arrived_ms)
         finally:
             self._active_connections.discard(connection)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from clementineyoke_core.edge.event_splitter import StreamEvent
-    from clementineyoke_node.platform.runner_codec import AnswerHead
+    from clementineyoke_node.platform.runner_codec import ResponseHead
 
 
 class CallerStream:
@@ -34,7 +34,7 @@
         """Whether the runner's data ends within an event."""
         return self._splitter.has_partial_event
 
-    async def start(self, head: AnswerHead, *, is_leaving: bool) -> None:
+    async def start(self, head: ResponseHead, *, is_leaving: bool) -> None:
         """Start to relay a runner's stream; only the first runner's head is sent."""
         self._splitter = EventSplitter()
         if self._response is not None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
@@ -51,7 +51,7 @@
         nodes = self._choose_nodes()
         if not nodes:
             return web.Response(status=503)
-        body = encode_addresses(nodes, keep_ms=self._ttl_ms)
+        body = encode_addresses(nodes, ttl_ms=self._ttl_ms)
         return web.Response(body=body, headers=JSON_HEADERS)
 
     async def ready(self, request: web.Request) -> web.Response:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -97,7 +97,7 @@
         )
         self.view = FleetView(
             table=state.table,
-            cold_runners=state.cold,
+            cold_runners=state.cold_runners,
             timers=self.timers,
             freshness=StoreFreshness(
                 bound_ms=min(config.apply_within_ms, config.drain_within_ms)
@@ -155,14 +155,14 @@
 
     def apply_hosts(self) -> None:
         """Apply a changed set of nodes or runners to all components."""
-        moved = self._state.take_hosts()
+        moved = self._state.rebuild_homes()
         self.slot_home.rebuild()
         entries = self._state.table.entries()
         pools = {entry.runner.pool for entry in entries}
         self.gossiper.set_pools({*pools, NODE_CALLS_KEY})
         lifetimes = {entry.runner.lifetime for entry in entries}
         self.runner_health.retain(lifetimes)
-        self._state.cold.retain(lifetimes)
+        self._state.cold_runners.retain(lifetimes)
         if moved:
             # New homes do not know the slots in use until these are renewed.
             self.tasks.spawn(self.broker.renew(), name="renew_at_new_homes")
@@ -209,7 +209,7 @@
             mean_load=state.mean_load,
             socket=self.socket,
             timers=self.timers,
-            cold_runners=state.cold,
+            cold_runners=state.cold_runners,
             load_bound=LoadBound(
                 factor=NO_PROMPT_CAP_SHARE * self._config.cap_factor,
                 slack_slots=SLACK_SLOTS,
@@ -292,7 +292,7 @@
         )
         return Forwarder(
             broker=self.broker,
-            attempts=attempts,
+            attempt_executor=attempts,
             health=self.runner_health,
             crash_tracker=self.crash_tracker,
             retry_window=RetryWindow(
@@ -308,7 +308,7 @@
         )
 
     def _is_watcher(self) -> bool:
-        return self.registration.registered.is_set() and self._state.has_watch_duty()
+        return self.registration.registered.is_set() and self._state.is_watcher()
 
     def _fetch_newer(self, node: Node, version: int = 0) -> None:
         self.peers.fetch(
@@ -318,7 +318,7 @@
 
     def _is_cold(self, runner: Runner) -> bool:
         now_ms = self.timers.now_ms()
-        return self._state.cold.calls_per_s(runner, now_ms=now_ms) is not None
+        return self._state.cold_runners.calls_per_s(runner, now_ms=now_ms) is not None
 
     def _record_draining(self, runner: Runner) -> bool:
         """Record that a runner drains; return whether that was unknown.
@@ -374,4 +374,4 @@
             ("archive", ARCHIVE_INTERVAL_MS, self.crash_archive.run_round),
         )
         for name, interval_ms, call in schedule:
-            self.timers.subscribe(name, interval_ms=interval_ms, call=call)
+            self.timers.subscribe(name, interval_ms=interval_ms, callback=call)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -62,7 +62,7 @@
             metrics=self.state.metrics,
             rng=self.state.rng,
             membership=self.state.membership,
-            start_wait=StartupWait(),
+            startup_wait=StartupWait(),
             call_rate=self.state.call_rate,
         )
         self._directory_api = DirectoryApi(
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
@@ -57,7 +57,7 @@
         self,
         *,
         broker: SlotBroker,
-        attempts: AttemptExecutor,
+        attempt_executor: AttemptExecutor,
         health: RunnerHealth,
         crash_tracker: CrashTracker,
         retry_window: RetryWindow,
@@ -74,7 +74,7 @@
         budget of a pool.
         """
         self._broker = broker
-        self._attempt_executor = attempts
+        self._attempt_executor = attempt_executor
         self._health = health
         self._crash_tracker = crash_tracker
         self._retry_window = retry_window
@@ -173,7 +173,9 @@
         """Return the Retry-After, in milliseconds, of a call that did not run."""
         if self._broker.has_available_runner(pool):
             return REFUSED_RETRY_MS
-        backoff_ms = self._broker.backoff_left_ms(pool, now_ms=self._timers.now_ms())
+        backoff_ms = self._broker.backoff_remaining_ms(
+            pool, now_ms=self._timers.now_ms()
+        )
         if not backoff_ms:
             return NO_RUNNER_RETRY_MS
         return math.ceil(backoff_ms) + self._random_key() % RETRY_JITTER_MS
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
@@ -65,7 +65,7 @@
             await self._store.replace(names.NODES_KIND, self._local_node.node_id, spec)
 
     async def _add_registered_nodes(self, *, may_be_old: bool) -> list[Node]:
-        listed = await self._store.list_all(names.NODES_KIND, may_be_old=may_be_old)
+        listed = await self._store.list_all(names.NODES_KIND, allow_stale=may_be_old)
         nodes: list[Node] = []
         for entry in listed.entries:
             try:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/operator_api.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from clementineyoke_node.metrics_page import answer_with_metrics
+from clementineyoke_node.metrics_page import metrics_response
 
 if TYPE_CHECKING:
     from clementineyoke_node.edge.edge_io import EdgeIo
@@ -34,10 +34,10 @@
         metrics.settings_version.set({}, io.view.state_revision)
         metrics.store_calls.set({}, io.store.calls)
         for kind, sent in io.socket.sent_bytes.items():
-            metrics.control_bytes.set({"kind": kind}, sent)
+            metrics.control_sent_bytes.set({"kind": kind}, sent)
         for runner_id, in_use in io.slot_home.loads().items():
             metrics.runner_slots.set({"runner": runner_id}, in_use)
-        return answer_with_metrics(request, metrics)
+        return metrics_response(request, metrics)
 
     async def _status(self, request: web.Request) -> web.Response:
         state, io = self._state, self._io
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -176,7 +176,7 @@
             ),
         ) as response:
             response.raise_for_status()
-            compressed = self._seal.open(await response.read(), peer=address)
+            compressed = self._seal.verify(await response.read(), peer=address)
         return msgspec.msgpack.decode(_decompress(compressed, address), type=PeerState)
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from clementineyoke_core.edge.edge_call import EdgeCall
     from clementineyoke_core.runner import Runner
-    from clementineyoke_node.platform.runner_codec import AnswerHead
+    from clementineyoke_node.platform.runner_codec import ResponseHead
 
 MIN_SERVER_ERROR_STATUS = 500
 MIN_REDIRECT_STATUS = 300
@@ -64,9 +64,9 @@
             step="read_head",
             peer=runner.runner_id,
             reason=f"failed with {head.status}",
-            response=response if head.has_proof else None,
+            response=response if head.has_signature else None,
         )
-    if head.status < MIN_REDIRECT_STATUS and not head.has_proof:
+    if head.status < MIN_REDIRECT_STATUS and not head.has_signature:
         raise AttemptError(
             outcome=AttemptOutcome.LOST,
             step="check_proof",
@@ -75,7 +75,7 @@
         )
 
 
-def check_call_id(runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
+def check_call_id(runner: Runner, call: EdgeCall, head: ResponseHead) -> None:
     """Raise ``AttemptError`` for a response that carries another call's id."""
     if head.call_id == call.call_id:
         return
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
@@ -17,9 +17,9 @@
 from clementineyoke_node.edge.runner_protocol import make_connector
 from clementineyoke_node.edge.runner_response import OpenResponse
 from clementineyoke_node.platform.runner_codec import (
-    RunnerOrder,
-    decode_head,
-    encode_order,
+    RoutingHeaders,
+    decode_response_head,
+    encode_call_headers,
 )
 from clementineyoke_wire.events import Event, log_event
 
@@ -82,7 +82,7 @@
         self,
         runner: Runner,
         call: EdgeCall,
-        order: RunnerOrder,
+        order: RoutingHeaders,
         *,
         runner_timeout: RunnerTimeout,
         may_repeat: bool,
@@ -106,7 +106,7 @@
         )
         is_complete = False
         try:
-            head = decode_head(response.status, response.headers)
+            head = decode_response_head(response.status, response.headers)
             self._signals.apply(runner, call, head)
             check_call_id(runner, call, head)
             yield OpenResponse(head, response)
@@ -155,7 +155,7 @@
         session: aiohttp.ClientSession,
         runner: Runner,
         call: EdgeCall,
-        order: RunnerOrder,
+        order: RoutingHeaders,
         *,
         runner_timeout: RunnerTimeout,
     ) -> aiohttp.ClientResponse:
@@ -170,7 +170,7 @@
                 return await session.request(
                     call.method,
                     url,
-                    headers=encode_order(call, order),
+                    headers=encode_call_headers(call, order),
                     data=call.body or None,
                     timeout=timeout,
                     allow_redirects=False,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_response.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_response.py
@@ -7,18 +7,18 @@
 if TYPE_CHECKING:
     import aiohttp
 
-    from clementineyoke_node.platform.runner_codec import AnswerHead
+    from clementineyoke_node.platform.runner_codec import ResponseHead
 
 
 class OpenResponse(NamedTuple):
     """A response whose head has arrived and whose body has not been read."""
 
-    head: AnswerHead
+    head: ResponseHead
     client_response: aiohttp.ClientResponse
 
 
 class CompleteResponse(NamedTuple):
     """A response that was read to its end."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_signals.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_signals.py
@@ -13,7 +13,7 @@
     from clementineyoke_core.runner import Runner
     from clementineyoke_core.runner_table import RunnerTable
     from clementineyoke_node.callers.decision_ring import DecisionRing
-    from clementineyoke_node.platform.runner_codec import AnswerHead
+    from clementineyoke_node.platform.runner_codec import ResponseHead
     from clementineyoke_node.timers.timer_service import TimerService
 
 
@@ -34,7 +34,7 @@
         self._decisions = decisions
         self._on_draining = on_draining
 
-    def apply(self, runner: Runner, call: EdgeCall, head: AnswerHead) -> None:
+    def apply(self, runner: Runner, call: EdgeCall, head: ResponseHead) -> None:
         """Apply the signals in the head of a response, refusal or stream."""
         if head.is_draining and self._on_draining(runner):
             self._decisions.record(
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
@@ -18,7 +18,7 @@
 from clementineyoke_core.edge.runner_record import RunnerRecord
 from clementineyoke_core.edge.store_freshness import ViewPart
 from clementineyoke_node.platform import names
-from clementineyoke_node.platform.entry_codec import decode_runner, lifetime_of
+from clementineyoke_node.platform.entry_codec import decode_born_ms, decode_runner
 from clementineyoke_node.platform.format_error import FormatError
 from clementineyoke_node.platform.state_decoder import decode_state
 from clementineyoke_node.platform.store_error import HistoryGoneError, StoreError
@@ -326,7 +326,7 @@
             name, revision = change.entry.name, change.entry.revision
             decoded: RunnerRecord | RunnerRemoval
             if change.is_deleted:
-                born_ms = lifetime_of(change.entry)
+                born_ms = decode_born_ms(change.entry)
                 decoded = RunnerRemoval(name, revision, born_ms=born_ms)
             else:
                 decoded = self._decode_runner(change.entry)
--- a/packages/clementineyoke-node/src/clementineyoke_node/metrics.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/metrics.py
@@ -28,7 +28,7 @@
             "Requests begun and not ended.",
             registry=self.registry,
         )
-        self.control_bytes = Gauge(
+        self.control_sent_bytes = Gauge(
             "clementineyoke_control_sent_bytes",
             "Bytes sent to peers since the start, by message kind.",
             registry=self.registry,
--- a/packages/clementineyoke-node/src/clementineyoke_node/metrics_page.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/metrics_page.py
@@ -11,7 +11,7 @@
     from clementineyoke_node.metrics import Metrics
 
 
-def answer_with_metrics(request: web.Request, metrics: Metrics) -> web.Response:
+def metrics_response(request: web.Request, metrics: Metrics) -> web.Response:
     """Return the metrics in the format that the scraper accepts."""
     accept = request.headers.getall("Accept", [])
     content, content_headers = render(metrics.registry, accept)
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -63,7 +63,7 @@
         self.settings = SettingsReplica(
             objects=self.platform,
             peers=HttpPeerSettings(seal=state.seal),
-            has_watch_duty=state.has_watch_duty,
+            has_watch_duty=state.is_watcher,
             has_snapshot_duty=state.is_snapshot_writer,
         )
         self._create_slot_components()
@@ -92,7 +92,7 @@
 
     def apply_hosts(self) -> None:
         """Update all components after nodes or runners have changed."""
-        homes_changed = self._state.take_hosts()
+        homes_changed = self._state.rebuild_homes()
         self.slot_home.rebuild()
         pools = {entry.runner.pool for entry in self._state.table.entries()}
         self.gossiper.set_pools(pools)
@@ -172,4 +172,4 @@
             ("snapshot", SNAPSHOT_INTERVAL_MS, self.settings.write_snapshot),
         )
         for name, interval_ms, callback in schedule:
-            self.timers.subscribe(name, interval_ms=interval_ms, call=callback)
+            self.timers.subscribe(name, interval_ms=interval_ms, callback=callback)
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
@@ -53,7 +53,7 @@
             config=self.config, state=self.state, io=self.io
         )
         self.io.timers.subscribe(
-            "metrics", interval_ms=METRICS_INTERVAL_MS, call=self._copy_metrics
+            "metrics", interval_ms=METRICS_INTERVAL_MS, callback=self._copy_metrics
         )
         await self._listen(self._create_admin_app(), self.config.peer_port, None)
         self.io.tasks.spawn(self._listen_for_callers(), name="open_to_callers")
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -57,7 +57,7 @@
             local_node=local_node, incarnation=incarnation, rng=self.rng
         )
         self.table = RunnerTable()
-        self.cold = ColdRunners()
+        self.cold_runners = ColdRunners()
         self.rings = PoolRings(table=self.table, region=config.region)
         self.region_homes = RunnerHomes()
         """Home nodes of runners; within the region a response takes a millisecond."""
@@ -78,7 +78,7 @@
         """Computed when hosts change: it takes 0.25 ms at 410 nodes and is read about
         forty times a second."""
 
-    def take_hosts(self) -> bool:
+    def rebuild_homes(self) -> bool:
         """Rebuild rings and home nodes; return whether a runner's home node changed."""
         self.rings.rebuild()
         self._watchers = choose_watchers(self.membership.alive())
@@ -88,7 +88,7 @@
             pools=self.table.by_pool(region=self.config.region),
         )
 
-    def has_watch_duty(self) -> bool:
+    def is_watcher(self) -> bool:
         """Return whether this node watches the platform for its zone."""
         return self.config.node_id in self._watchers
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_status.py
@@ -45,6 +45,6 @@
     metrics.settings_version.set({}, io.settings.log.version)
     metrics.claim_writes.set({}, io.claim_home.writes)
     for kind, sent in io.socket.sent_bytes.items():
-        metrics.control_bytes.set({"kind": kind}, sent)
+        metrics.control_sent_bytes.set({"kind": kind}, sent)
     for runner_id, in_use in io.slot_home.loads().items():
         metrics.runner_slots.set({"runner": runner_id}, in_use)
--- a/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any, NamedTuple, Self, TypeVar
 
-from clementineyoke_wire.codec import decode, encode, kind_of
+from clementineyoke_wire.codec import decode, encode, message_kind
 from clementineyoke_wire.events import Event, log_event
 from clementineyoke_wire.wire_error import WireError
 
@@ -122,7 +122,7 @@
         datagram = self._seal.sign(encode(message, incarnation=self._incarnation))
         size_bytes = len(datagram) + DATAGRAM_OVERHEAD_BYTES
         for peer in peers:
-            self.sent_bytes[kind_of(message)] += size_bytes
+            self.sent_bytes[message_kind(message)] += size_bytes
             self._transport.sendto(datagram, peer)
 
     async def request(
@@ -155,7 +155,7 @@
         peer = PeerAddress(addr[0], addr[1])
         self.received_bytes += len(data) + DATAGRAM_OVERHEAD_BYTES
         try:
-            received = decode(self._seal.open(data, peer=str(peer)))
+            received = decode(self._seal.verify(data, peer=str(peer)))
         except WireError as error:
             log_event(Event.DATAGRAM_REFUSED, peer=str(peer), step=error.step)
             return
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
@@ -35,7 +35,12 @@
 """
 HEADER_LINE_OVERHEAD_BYTES = len(": \r\n")
 REQUEST_LINE_OVERHEAD_BYTES = len("  HTTP/1.1\r\n\r\n")
-_SINGLE_VALUE_HEADERS = (names.CALL_ID, names.TIME_LEFT_MS, names.AUTHORIZATION, "Host")
+_SINGLE_VALUE_HEADERS = (
+    names.CALL_ID,
+    names.REMAINING_TIME_MS,
+    names.AUTHORIZATION,
+    "Host",
+)
 
 
 def decode_call(
@@ -64,7 +69,7 @@
         head_bytes=_count_head_bytes(method, target, fields),
         body=body,
         key=_decode_key(fields.get(names.AUTHORIZATION)),
-        budget_ms=_decode_budget(fields.get(names.TIME_LEFT_MS)),
+        budget_ms=_decode_budget(fields.get(names.REMAINING_TIME_MS)),
         model=fields.get(names.MODEL, ""),
         prompt_parts=tuple(_decode_parts(fields.get(names.PROMPT_PARTS, ""))),
         last_event=int(last_event) if last_event.isdigit() else None,
@@ -121,7 +126,9 @@
         return float(text)
     except ValueError as error:
         raise FormatError(
-            step="decode_call", peer="caller", reason=f"{names.TIME_LEFT_MS} {text!r}"
+            step="decode_call",
+            peer="caller",
+            reason=f"{names.REMAINING_TIME_MS} {text!r}",
         ) from error
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
@@ -95,7 +95,7 @@
     return RunnerRecord(runner, spec.state == STATE_DRAINING, entry.revision, cold_ms)
 
 
-def lifetime_of(entry: StoredEntry) -> int:
+def decode_born_ms(entry: StoredEntry) -> int:
     """Return the start time of a removed entry's runner; 0 if the entry has none."""
     try:
         born_ms = _decode(entry, _RunnerSpec, step="decode_runner").born
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/names.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/names.py
@@ -7,7 +7,7 @@
 
 CALL_ID = "X-Attempt-Id"
 """Id of one attempt of a caller; a retry by the caller has another id."""
-TIME_LEFT_MS = "X-Deadline-Ms"
+REMAINING_TIME_MS = "X-Deadline-Ms"
 """Time left from the request's arrival; despite its name not a point in time."""
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Token "
@@ -15,7 +15,7 @@
 EXPECTED_RUNNER = "X-Target-Instance"
 """Id of the runner that a call is for; another runner at its address refuses it."""
 NOT_EXECUTED = "X-Not-Executed"
-PROOF = "X-Server-Signature"
+SERVER_SIGNATURE = "X-Server-Signature"
 MODEL = "X-Model"
 PROMPT_PARTS = "X-Prompt-Prefix"
 """All parts of the prompt, not only the shared prefix: the last part is the call's."""
@@ -35,7 +35,7 @@
         AUTHORIZATION,
         TEAM,
         EXPECTED_RUNNER,
-        TIME_LEFT_MS,
+        REMAINING_TIME_MS,
         URGENCY,
         FETCH_FROM,
         LAST_EVENT,
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/node_answers.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/node_answers.py
@@ -17,12 +17,12 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-def encode_addresses(nodes: Sequence[Node], *, keep_ms: float) -> bytes:
+def encode_addresses(nodes: Sequence[Node], *, ttl_ms: float) -> bytes:
     """Return the body of the response to a caller that asks for node addresses."""
     return msgspec.json.encode(
         {
             "addresses": [f"{node.address}:{node.caller_port}" for node in nodes],
-            "ttlS": keep_ms / MS_PER_S,
+            "ttlS": ttl_ms / MS_PER_S,
         }
     )
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
@@ -21,19 +21,19 @@
 EVENT_STREAM = "text/event-stream"
 
 
-class RunnerOrder(NamedTuple):
+class RoutingHeaders(NamedTuple):
     """The headers that the router adds to a call to one runner."""
 
     runner_id: str
     team: str | None
-    left_ms: float
+    remaining_ms: float
     urgency: int
     last_event: int | None
     fetch_from: str | None = None
     """IP:PORT of a runner that has more of the prompt in its cache."""
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """The decoded head of a runner's response."""
 
     status: int
@@ -41,7 +41,7 @@
     """Id of the call that the runner responds to; empty if the head has none."""
     is_refusal: bool
     """Whether the runner states that it did not run the call."""
-    has_proof: bool
+    has_signature: bool
     is_draining: bool
     """Whether the runner signals that it is draining."""
     retry_after_ms: float
@@ -50,30 +50,32 @@
     passed_headers: list[tuple[str, str]]
 
 
-def encode_order(call: EdgeCall, order: RunnerOrder) -> list[tuple[str, str]]:
+def encode_call_headers(
+    call: EdgeCall, routing: RoutingHeaders
+) -> list[tuple[str, str]]:
     """Return the headers of a call to one runner."""
     fields = list(call.passed_headers)
-    fields.append((names.EXPECTED_RUNNER, order.runner_id))
-    if call.budget_ms is not None or order.left_ms:
-        fields.append((names.TIME_LEFT_MS, str(max(1, int(order.left_ms)))))
-    if order.team is not None:
-        fields.append((names.TEAM, order.team))
-    if order.last_event is not None:
-        fields.append((names.LAST_EVENT, str(order.last_event)))
+    fields.append((names.EXPECTED_RUNNER, routing.runner_id))
+    if call.budget_ms is not None or routing.remaining_ms:
+        fields.append((names.REMAINING_TIME_MS, str(max(1, int(routing.remaining_ms)))))
+    if routing.team is not None:
+        fields.append((names.TEAM, routing.team))
+    if routing.last_event is not None:
+        fields.append((names.LAST_EVENT, str(routing.last_event)))
     if call.prompt_parts:
-        fields.append((names.URGENCY, str(order.urgency)))
-    if order.fetch_from is not None:
-        fields.append((names.FETCH_FROM, order.fetch_from))
+        fields.append((names.URGENCY, str(routing.urgency)))
+    if routing.fetch_from is not None:
+        fields.append((names.FETCH_FROM, routing.fetch_from))
     return fields
 
 
-def decode_head(status: int, fields: CIMultiDictProxy[str]) -> AnswerHead:
+def decode_response_head(status: int, fields: CIMultiDictProxy[str]) -> ResponseHead:
     """Decode the head of a runner's response."""
-    return AnswerHead(
+    return ResponseHead(
         status=status,
         call_id=fields.get(names.CALL_ID, ""),
         is_refusal=names.NOT_EXECUTED in fields or status == STATUS_MISDIRECTED,
-        has_proof=names.PROOF in fields,
+        has_signature=names.SERVER_SIGNATURE in fields,
         is_draining=_is_draining(status, fields),
         retry_after_ms=_decode_retry_after_ms(status, fields),
         is_event_stream=fields.get("Content-Type", "").startswith(EVENT_STREAM),
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_client.py
@@ -73,7 +73,7 @@
         if self._session is not None:
             await self._session.close()
 
-    async def list_all(self, kind: str, *, may_be_old: bool = False) -> EntryList:
+    async def list_all(self, kind: str, *, allow_stale: bool = False) -> EntryList:
         """Return all objects of a kind, read page by page.
 
         A stale list may be some seconds old and costs a tenth.
@@ -83,7 +83,7 @@
         after = ""
         while True:
             params = {"afterRev": after} if after else {}
-            if may_be_old:
+            if allow_stale:
                 params["allowStale"] = "1"
             content = await self._call("GET", _path(kind), params=params)
             page = self._decode(decode_page, content, kind)
@@ -173,8 +173,8 @@
             raise StoreError(
                 step=error.step, peer=self._address, reason=error.reason
             ) from error
-        if decoded.unreadable:
-            log_event(Event.ENTRY_UNREADABLE, kind=kind, count=decoded.unreadable)
+        if decoded.unreadable_count:
+            log_event(Event.ENTRY_UNREADABLE, kind=kind, count=decoded.unreadable_count)
         return decoded
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/store_page.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/store_page.py
@@ -34,7 +34,7 @@
     has_more: bool
     last_name: str
     """Name of the last object, after which the next page starts."""
-    unreadable: int
+    unreadable_count: int
     """Number of objects without a readable name and revision."""
 
 
@@ -43,7 +43,7 @@
 
     changes: list[EntryChange]
     revision: int
-    unreadable: int = 0
+    unreadable_count: int = 0
 
 
 class _Metadata(msgspec.Struct):
@@ -88,7 +88,7 @@
         revision=page.store_revision,
         has_more=page.more and bool(entries),
         last_name=entries[-1].name if entries else "",
-        unreadable=len(page.items) - len(entries),
+        unreadable_count=len(page.items) - len(entries),
     )
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
@@ -84,7 +84,7 @@
                     return None
                 if response.status != STATUS_OK:
                     raise _failure(node, f"status {response.status}")
-                return self._seal.open(body, peer=node.node_id)
+                return self._seal.verify(body, peer=node.node_id)
         except (aiohttp.ClientError, TimeoutError, WireError) as error:
             raise _failure(node, repr(error)) from error
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
@@ -125,7 +125,7 @@
         """Return whether any runner of a pool accepts new calls."""
         return self.has_untried_runner(pool, set())
 
-    def backoff_left_ms(self, pool: str, *, now_ms: float) -> float:
+    def backoff_remaining_ms(self, pool: str, *, now_ms: float) -> float:
         """Return the shortest remaining backoff of a pool's runners, or 0."""
         return self._table.backoff_remaining_ms(pool, now_ms=now_ms)
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/timers/timer_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/timers/timer_service.py
@@ -32,10 +32,10 @@
         return round(time.time() * MS_PER_S)
 
     def subscribe(
-        self, name: str, *, interval_ms: float, call: Callable[[], Awaitable[None]]
+        self, name: str, *, interval_ms: float, callback: Callable[[], Awaitable[None]]
     ) -> None:
         """Call a function repeatedly, pausing for the interval after each call."""
-        self._tasks.spawn(self._repeat(name, interval_ms, call), name=name)
+        self._tasks.spawn(self._repeat(name, interval_ms, callback), name=name)
 
     async def __aenter__(self) -> Self:
         """Return the service; timers are started by ``subscribe``."""
--- a/packages/clementineyoke-node/tests/environment.py
+++ b/packages/clementineyoke-node/tests/environment.py
@@ -3,11 +3,11 @@
 import asyncio
 import logging
 
-from clementineyoke_wire.log_sink import log_as_json
+from clementineyoke_wire.log_sink import configure_stream_logging
 
 
 def before_all(context):
-    log_as_json("CRITICAL")
+    configure_stream_logging("CRITICAL")
     # Scenarios truncate responses on purpose; aiohttp logs each abort with a traceback.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
 
--- a/packages/clementineyoke-node/tests/steps/early_start_steps.py
+++ b/packages/clementineyoke-node/tests/steps/early_start_steps.py
@@ -9,7 +9,7 @@
 
 from behave import then, when
 
-from clementineyoke_node.console.early_start import EarlyStart, door_addresses
+from clementineyoke_node.console.early_start import EarlyStart, listener_addresses
 from clementineyoke_standins.soak.loopback import free_ports
 
 
@@ -24,7 +24,7 @@
             caller = socket.create_connection((host, int(port)), timeout=2)
             caller.sendall(b"a call")
             # A node loads its modules here; then the event loop takes the socket.
-            server = await asyncio.start_server(echo, sock=start.take(address))
+            server = await asyncio.start_server(echo, sock=start.take_listener(address))
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
             context.received = await asyncio.wait_for(loop.sock_recv(caller, 64), 2)
@@ -58,7 +58,7 @@
         "from clementineyoke_node.console.early_start import EarlyStart\n"
         "with EarlyStart(addresses=[]) as start:\n"
         "    os.kill(os.getpid(), signal.SIGTERM)\n"
-        "    print(start.is_stop_ordered, flush=True)\n"
+        "    print(start.is_stop_requested, flush=True)\n"
     )
     context.started = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, check=False, timeout=60
@@ -80,7 +80,7 @@
         code = (
             "from clementineyoke_node.console.early_start import EarlyStart\n"
             f"with EarlyStart(addresses=[{address!r}]) as start:\n"
-            f"    print(start.take({address!r}))\n"
+            f"    print(start.take_listener({address!r}))\n"
         )
         context.started = subprocess.run(
             [sys.executable, "-c", code],
@@ -94,7 +94,7 @@
 @then("it continues without that socket")
 def check_no_socket(context):
     assert context.started.stdout == b"None\n", context.started
-    assert door_addresses(["--doors=a:1,b:2", "x"]) == ["a:1", "b:2"]
+    assert listener_addresses(["--doors=a:1,b:2", "x"]) == ["a:1", "b:2"]
 
 
 @when("a node starts and a call arrives before its state")
--- a/packages/clementineyoke-node/tests/steps/edge_fleet.py
+++ b/packages/clementineyoke-node/tests/steps/edge_fleet.py
@@ -60,7 +60,7 @@
         self.cold = cold or {}
         """Fields of the desired state that limit calls to cold runners."""
         self.nodes = []
-        self.stops = []
+        self.stop_tasks = []
         self._count = nodes
         self._stack = AsyncExitStack()
         self.version = 0
@@ -151,7 +151,7 @@
         node = EdgeService(config=self.config(number))
         await node.__aenter__()
         self.nodes.append(node)
-        self.stops.append(asyncio.ensure_future(node.run_until_stopped()))
+        self.stop_tasks.append(asyncio.ensure_future(node.run_until_stopped()))
         if wait:
             await asyncio.wait_for(node.io.view.ready.wait(), 5)
         return node
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -16,7 +16,10 @@
 from behave import given, then, when
 from edge_fleet import CALL_ID_HEADER, KEY, EdgeFleet, make_route
 
-from clementineyoke_node.config.settings_file import SettingsFile, wait_for_config
+from clementineyoke_node.config.settings_file import (
+    SettingsFile,
+    load_config_with_retries,
+)
 from clementineyoke_node.edge.store_watcher import StoreWatcher
 from clementineyoke_node.platform.names import SETTINGS_FILE_VARIABLE
 from clementineyoke_node.platform.state_decoder import decode_state
@@ -376,7 +379,7 @@
 
 @then("the node ends within its time")
 def check_ends(context):
-    context.run(asyncio.wait_for(context.fleet.stops[0], 3))
+    context.run(asyncio.wait_for(context.fleet.stop_tasks[0], 3))
 
 
 @when("a call comes on an idle connection while a leaving node ends a stream")
@@ -511,7 +514,7 @@
     context.file.write_bytes(content)
     # File system timestamps are coarse: two writes may fall within one tick.
     os.utime(context.file, ns=(0, context.file.stat().st_mtime_ns + 1_000_000))
-    context.run(context.settings.check())
+    context.run(context.settings.reload_if_modified())
 
 
 @when("it is half written and the node looks at it")
@@ -544,7 +547,9 @@
     context.file.write_bytes(complete_file[: len(complete_file) // 2])
     writer = threading.Timer(0.05, context.file.write_bytes, (complete_file,))
     writer.start()
-    context.started_with = wait_for_config(str(context.file), pause_s=0.02)
+    context.started_with = load_config_with_retries(
+        str(context.file), retry_pause_s=0.02
+    )
     writer.join()
 
 
--- a/packages/clementineyoke-node/tests/steps/news_steps.py
+++ b/packages/clementineyoke-node/tests/steps/news_steps.py
@@ -76,7 +76,7 @@
     async def act():
         fleet = context.fleet
         await fleet.nodes.pop(number).__aexit__(None, None, None)
-        fleet.stops.pop(number).cancel()
+        fleet.stop_tasks.pop(number).cancel()
         fleet.store.calls.clear()
         context.started = await fleet.start_node(number, wait=False)
 
--- a/packages/clementineyoke-node/tests/steps/node_state_steps.py
+++ b/packages/clementineyoke-node/tests/steps/node_state_steps.py
@@ -36,7 +36,7 @@
     context.states = [make_state(node) for node in nodes]
     for state in context.states:
         state.membership.apply_host_list(live=nodes, leaving=[])
-        state.take_hosts()
+        state.rebuild_homes()
 
 
 @when("the home node of a budget is reported down")
@@ -46,7 +46,7 @@
         state.membership.apply_update(
             MembershipUpdate(context.down_node_id, 2**32, PeerState.DOWN)
         )
-        state.take_hosts()
+        state.rebuild_homes()
 
 
 @then(
@@ -64,7 +64,7 @@
     for state in context.states:
         runner = Runner("e", "", 1, "z", state.config.region, RunnerKind.ENGINE, "m", 8)
         state.table.apply_host_list(live=[runner], leaving=[], now_ms=0)
-        state.take_hosts()
+        state.rebuild_homes()
         home = state.region_homes.home_of("e")
         assert state.membership.node(home).region == state.config.region
 
--- a/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
+++ b/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
@@ -9,7 +9,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from clementineyoke_core.runner_state import RunnerState
-from clementineyoke_node.platform.runner_codec import decode_head
+from clementineyoke_node.platform.runner_codec import decode_response_head
 from clementineyoke_standins.edge.edge_runner import Act
 from clementineyoke_standins.edge.edge_store import StoreFault
 
@@ -151,9 +151,11 @@
 
 
 @when('the head of a response has status {status:d} and "{fields}"')
-def decode_response_head(context, status, fields):
+def parse_response_head(context, status, fields):
     name, _, value = fields.partition(": ")
-    context.head = decode_head(status, CIMultiDictProxy(CIMultiDict({name: value})))
+    context.head = decode_response_head(
+        status, CIMultiDictProxy(CIMultiDict({name: value}))
+    )
 
 
 @then("its runner is {state} and asks for {backoff_ms:d} ms of backoff")
--- a/packages/clementineyoke-node/tests/steps/store_entries_steps.py
+++ b/packages/clementineyoke-node/tests/steps/store_entries_steps.py
@@ -93,7 +93,7 @@
 @then("the page has the valid entry and {count:d} unreadable object")
 def check_page(context, count):
     assert [entry.name for entry in context.page.entries] == ["good"]
-    assert context.page.unreadable == count
+    assert context.page.unreadable_count == count
 
 
 JSON_VALUES = st.recursive(
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
@@ -73,7 +73,7 @@
 
 def _pass(seal: Seal, message: Message) -> None:
     datagram = seal.sign(encode(message, incarnation=1_790_000_000))
-    decode(seal.open(datagram, peer="peer"))
+    decode(seal.verify(datagram, peer="peer"))
 
 
 def _run_slot_messages(count: int) -> float:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/bench.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/bench.py
@@ -21,7 +21,7 @@
     write_json,
 )
 from clementineyoke_standins.bench.spread_case import measure_spread
-from clementineyoke_wire.log_sink import log_as_json
+from clementineyoke_wire.log_sink import configure_stream_logging
 
 BUILD = Path("build")
 
@@ -34,7 +34,7 @@
         quick: Only the cases in virtual time, whose figures never vary (for CI).
 
     """
-    log_as_json("ERROR")
+    configure_stream_logging("ERROR")
     bounds = load_bounds()
     tables = run_tables(seed=seed)
     cases = to_cases(tables, bounds, seed=seed)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/capacity.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/capacity.py
@@ -15,14 +15,14 @@
     measure_streams,
 )
 from clementineyoke_standins.capacity.work_slopes import measure_work  # noqa: E402
-from clementineyoke_wire.log_sink import log_as_json  # noqa: E402
+from clementineyoke_wire.log_sink import configure_stream_logging  # noqa: E402
 
 BUILD = Path("build")
 
 
 def main() -> None:
     """Measure, print, write ``build/capacity.json`` and draw the lines."""
-    log_as_json("ERROR")
+    configure_stream_logging("ERROR")
     slopes = [*measure_state(), *measure_work(), *measure_streams()]
     BUILD.mkdir(exist_ok=True)
     document = {"slopes": [slope._asdict() for slope in slopes]}
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
@@ -70,7 +70,7 @@
         headers = {
             "Host": HOSTNAME,
             names.CALL_ID: f"call-{number}",
-            names.TIME_LEFT_MS: "5000",
+            names.REMAINING_TIME_MS: "5000",
             names.AUTHORIZATION: f"{names.KEY_SCHEME}{KEY}",
         }
         if path == STREAM_PATH:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -186,7 +186,7 @@
             return "no_connection"
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return "unknown"
-        if headers.REPEATED in answer.headers:
+        if headers.REPEATED_ANSWER in answer.headers:
             self._tally.repeated_answers += 1
         if answer.status == STATUS_OK and body.get("done") != mark:
             self._tally.crossed += 1
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
@@ -262,7 +262,7 @@
             if self.retry_after_s:
                 fields[names.RETRY_AFTER] = f"{self.retry_after_s:g}"
         elif act is not Act.NO_PROOF:
-            fields[names.PROOF] = PROOF
+            fields[names.SERVER_SIGNATURE] = PROOF
         if act in (Act.UNFRAMED, Act.UNFRAMED_RESET):
             return await self._answer_unframed(writer, act, fields, body)
         whole = _head(status, {**fields, "Content-Length": str(len(body))}) + body
@@ -300,7 +300,7 @@
     ) -> bool:
         fields = {
             names.CALL_ID: call_id,
-            names.PROOF: PROOF,
+            names.SERVER_SIGNATURE: PROOF,
             **self._signals(),
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/caller.py
@@ -127,7 +127,7 @@
         fields = {
             "Host": HOSTNAME,
             names.CALL_ID: call_id,
-            names.TIME_LEFT_MS: str(BUDGET_MS),
+            names.REMAINING_TIME_MS: str(BUDGET_MS),
             names.AUTHORIZATION: f"{names.KEY_SCHEME}{key}",
         }
         url = f"http://{self._endpoints[node]}/{kind.value}/x"
@@ -135,7 +135,7 @@
             method, url, headers=fields, data=request_body
         ) as response:
             body = await response.text()
-            return response.status, body, names.PROOF in response.headers
+            return response.status, body, names.SERVER_SIGNATURE in response.headers
 
     @property
     def good_key(self) -> str:
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/codec.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/codec.py
@@ -60,7 +60,7 @@
 _UNION_NAMES = {cls: _union_name(cls) for cls in _MAPPINGS}
 
 
-def kind_of(message: Message) -> str:
+def message_kind(message: Message) -> str:
     """Return the kind of a message, as named in metrics."""
     return _UNION_NAMES[type(message)]
 
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/log_sink.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/log_sink.py
@@ -17,7 +17,7 @@
     from loguru import Message
 
 
-def log_to_pipe(level: str, *, node: str) -> None:
+def configure_stdout_logging(level: str, *, node: str) -> None:
     """Send all logs of this process to standard output, with the name of the node.
 
     Lines that cannot be written without blocking are dropped and counted.
@@ -26,7 +26,7 @@
     _configure(level, bounded.write_line, process=node)
 
 
-def log_as_json(level: str, *, stream: TextIO = sys.stderr) -> None:
+def configure_stream_logging(level: str, *, stream: TextIO = sys.stderr) -> None:
     """Send all logs of this process to a stream.
 
     Tracebacks contain no values of variables: loguru's diagnostic format would write
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
@@ -31,7 +31,7 @@
         """Return the payload prefixed with its authentication tag."""
         return self._tag(self._keys[0], payload) + payload
 
-    def open(self, datagram: bytes, *, peer: str) -> bytes:
+    def verify(self, datagram: bytes, *, peer: str) -> bytes:
         """Verify a message and return its payload.
 
         Raises ``WireError`` if its tag matches none of the keys.
--- a/packages/clementineyoke-wire/tests/steps/codec_steps.py
+++ b/packages/clementineyoke-wire/tests/steps/codec_steps.py
@@ -148,12 +148,12 @@
 @then('a node with the keys "{keys}" accepts it')
 def check_accepted(context, keys):
     seal = Seal(keys=keys.split(", "))
-    assert seal.open(context.datagram, peer="peer") == context.payload
+    assert seal.verify(context.datagram, peer="peer") == context.payload
 
 
 def is_refused(keys, datagram):
     try:
-        Seal(keys=keys.split(", ")).open(datagram, peer="peer")
+        Seal(keys=keys.split(", ")).verify(datagram, peer="peer")
     except WireError as error:
         return error.peer == "peer"
     return False
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -165,7 +165,7 @@
     Mutation(
         "a success needs no proof",
         f"{EDGE}/response_checks.py",
-        "and not head.has_proof:",
+        "and not head.has_signature:",
         "and False:",
         CALLS,
     ),
@@ -481,9 +481,7 @@
     Mutation(
         "answers do not tell a busy runner from a dead one",
         f"{DECISIONS}/reachability_breaker.py",
-        "self._outages.pop(runner_id, None)\n"
-        "\n"
-        "    def record_unreachable",
+        "self._outages.pop(runner_id, None)\n\n    def record_unreachable",
         "return\n\n    def record_unreachable",
         f"{CORE}/tests/reachability.feature",
     ),
