--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins of the users' platform: its store and its runners, with their faults."""
+"""Fake store and runners of the users' platform, with injectable faults."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
@@ -1,4 +1,4 @@
-"""A stand-in runner that answers as its script says, byte by byte."""
+"""A fake runner that sends scripted responses, including malformed ones."""
 
 from __future__ import annotations
 
@@ -16,79 +16,82 @@
 
 PROOF = "proof-of-the-runner"
 EVENTS = 6
-FOREVER_S = 3600.0
-SLOW_S = 0.6
-BEGIN_S = 0.03
-"""Until a runner begins to work on a call that will end it."""
-COLD_OVERRUN = 1.5
-COLD_SLACK = 5
-"""A cold runner ends at so much more than it bears, as the platform's rules say."""
-LATE_S = 0.05
-"""Until a late second answer comes: long after the first one was handed on."""
+HANG_S = 3600.0
+SLOW_RESPONSE_DELAY_S = 0.6
+CRASH_DELAY_S = 0.03
+"""Time from the receipt of a crashing request until the runner crashes."""
+COLD_OVERLOAD_FACTOR = 1.5
+COLD_OVERLOAD_MARGIN = 5
+"""A cold runner crashes if its calls within 1 s exceed its limit times the factor plus
+the margin, as the platform specifies."""
+LATE_RESPONSE_DELAY_S = 0.05
+"""Delay of a late second response, long enough for the first to be relayed."""
 
 
 class Act(Enum):
-    """How the runner answers one call."""
+    """How the runner responds to one call."""
 
     OK = "ok"
     STREAM = "stream"
     FAIL = "fail"
-    """Runs the call and answers with a failure of its own."""
+    """Executes the call and answers with status 500."""
     REFUSE = "refuse"
-    """Says that it did not run the call."""
+    """Refuses the call with status 503 and declares it not executed."""
     BUSY = "busy"
-    """Runs the call and says that it is busy, without a word on whether it ran."""
+    """Executes the call and answers with status 503, not declaring whether it ran."""
     HANG = "hang"
+    """Never responds."""
     SLOW = "slow"
-    """Answers long after a runner that works as usual would have."""
+    """Responds much later than a healthy runner."""
     RESET = "reset"
-    """Runs the call and loses the answer."""
+    """Executes the call and resets the connection without a response."""
     CUT = "cut"
-    """Breaks a stream off in the middle of an event."""
+    """Resets the connection in the middle of an event of a stream."""
     UNFRAMED = "unframed"
-    """Answers without a length and ends with the connection, in order."""
+    """Sends a body without a length that ends with an orderly close."""
     UNFRAMED_RESET = "unframed_reset"
-    """Answers without a length and is reset half way."""
+    """Sends half of a body without a length, then resets the connection."""
     CROSSED = "crossed"
-    """Answers with another call's answer."""
+    """Sends a response with the ID of another call."""
     EXTRA = "extra"
-    """Answers, and sends a second answer late."""
+    """Sends the response twice, the second time late."""
     NO_PROOF = "no_proof"
+    """Sends a response without the runner's signature."""
 
 
-STATUSES = {
+STATUS_LINES = {
     Act.FAIL: "500 Failed",
     Act.REFUSE: "503 Busy",
     Act.BUSY: "503 Busy",
 }
 
 
-class SeenCall(NamedTuple):
-    """A call as the runner saw it."""
+class ReceivedCall(NamedTuple):
+    """A call as the runner received it."""
 
     method: str
     target: str
     fields: dict[str, str]
     body: bytes
     at_s: float = 0.0
-    """When it came; monotonic."""
-    has_run: bool = True
-    """Whether the runner began to work on it."""
+    """Monotonic time of receipt."""
+    was_executed: bool = True
+    """Whether the runner started to execute the call."""
     lifetime: int = 0
-    """How often the runner had crashed before."""
-    says_draining: bool = False
-    """Whether the answer signalled that the runner drains."""
+    """Number of the runner's crashes before the call."""
+    signals_draining: bool = False
+    """Whether the response signalled that the runner is draining."""
     retry_after_s: float = 0.0
-    """Time that the refusal bore; 0 for none."""
+    """``Retry-After`` of the refusal; 0 if there was none."""
 
     @property
     def call_id(self) -> str:
-        """The id of the caller's try."""
+        """The ID of the caller's attempt."""
         return self.fields.get(names.CALL_ID.lower(), "")
 
 
 class EdgeRunner:
-    """Own a listening socket; each call takes the script's next act."""
+    """Listen on a socket and respond to each call with the next item of the script."""
 
     def __init__(
         self, *, runner_id: str, zone: str = "zone", usual: Act = Act.OK
@@ -98,37 +101,37 @@
         self.usual = usual
         self.script: list[Act] = []
         self.answers_by_path: dict[str, Act] = {}
-        """What is usual for targets that begin so."""
-        self.calls: list[SeenCall] = []
+        """Default responses by prefix of the request target."""
+        self.calls: list[ReceivedCall] = []
         self.event_pause_s = 0.0
         self.forgets_idle = False
-        """Whether what comes on a connection that has rested is reset."""
+        """Whether a connection is reset when it is reused after being idle."""
         self.idle_kept_s: int | None = None
-        """How long it says that it keeps idle connections; later calls are reset."""
+        """Announced idle timeout; a connection that is reused after it is reset."""
         self.crashing_bodies: set[bytes] = set()
-        """Calls with such a body end the runner as soon as it begins to run them."""
+        """Bodies of calls that crash the runner when it starts to execute them."""
         self.cold_until_s = 0.0
-        """Until when it is cold; monotonic."""
+        """Monotonic time until which the runner is cold."""
         self.cold_calls_per_s = 0.0
-        """What it bears while it is cold; 0 for no limit."""
-        self.overruns = 0
-        """How often it ended for more calls than it bore."""
+        """Limit on its call rate while it is cold; 0 for no limit."""
+        self.overload_crashes = 0
+        """Number of crashes by more calls than the limit of a cold runner."""
         self.is_draining = False
-        """Whether all its answers signal that it drains."""
+        """Whether all responses signal that the runner is draining."""
         self.is_shedding = False
-        """Whether it refuses all calls, whatever its script says."""
+        """Whether the runner refuses all calls regardless of its script."""
         self.retry_after_s = 0.0
-        """Time that its refusals bear; 0 for none."""
+        """``Retry-After`` of refusals; 0 for none."""
         self.ends_s: list[float] = []
-        """When each of its lifetimes crashed; monotonic."""
+        """Monotonic crash time of each lifetime."""
         self.on_crash: Callable[[EdgeRunner], None] = lambda _: None
-        """Called when the runner has ended; whoever owns it may start it again."""
+        """Called after a crash; may restart the runner."""
         self.port = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def __aenter__(self) -> Self:
-        """Listen on a free port, which the runner keeps over its lifetimes."""
+        """Listen on a free port, which the runner keeps across crashes."""
         await self.start()
         return self
 
@@ -138,17 +141,17 @@
             self._server.close()
 
     async def start(self) -> None:
-        """Listen, for the first time or after a crash."""
+        """Start to listen, at first or after a crash."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     @property
     def crashes(self) -> int:
-        """How often it has crashed."""
+        """Number of crashes so far."""
         return len(self.ends_s)
 
     def crash(self) -> None:
-        """End at once: every connection breaks, and no new one is taken."""
+        """Stop listening and reset all connections."""
         if self._server is None:
             return
         self.ends_s.append(time.monotonic())
@@ -164,167 +167,171 @@
     ) -> None:
         self._writers.add(writer)
         try:
-            first = b""
-            while await self._serve_one(reader, writer, first):
+            first_byte = b""
+            while await self._serve_one(reader, writer, first_byte):
                 idle_since_s = time.monotonic()
-                first = await reader.readexactly(1)
-                if self._has_forgotten(time.monotonic() - idle_since_s):
+                first_byte = await reader.readexactly(1)
+                if self._resets_idle(time.monotonic() - idle_since_s):
                     _reset(writer)
                     return
         except (ConnectionError, asyncio.IncompleteReadError):
-            return  # the node closed the connection, which tests bring about
+            return  # the node closed the connection, as some tests intend
         except asyncio.CancelledError:
-            return  # the scenario is over
+            return  # the scenario has ended
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    def _has_forgotten(self, idle_s: float) -> bool:
-        """Whether a connection that has rested so long is dropped without a word."""
-        is_over = self.idle_kept_s is not None and idle_s > self.idle_kept_s
-        return self.forgets_idle or is_over
+    def _resets_idle(self, idle_s: float) -> bool:
+        """Return whether a connection is reset after it was idle for so long."""
+        is_expired = self.idle_kept_s is not None and idle_s > self.idle_kept_s
+        return self.forgets_idle or is_expired
 
     async def _serve_one(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        first: bytes,
+        first_byte: bytes,
     ) -> bool:
-        call = await _read_call(reader, first)
-        act = self._next_act(call.target)
-        is_refused = act is Act.REFUSE
+        call = await _read_call(reader, first_byte)
+        response = self._next_response(call.target)
+        is_refused = response is Act.REFUSE
         seen = call._replace(
             at_s=time.monotonic(),
-            has_run=not is_refused,
+            was_executed=not is_refused,
             lifetime=self.crashes,
-            says_draining=self.is_draining,
+            signals_draining=self.is_draining,
             retry_after_s=self.retry_after_s if is_refused else 0.0,
         )
         self.calls.append(seen)
-        if self._is_overrun(seen.at_s):
+        if self._exceeds_cold_limit(seen.at_s):
             self.crash()
             return False
         if call.body in self.crashing_bodies:
-            await asyncio.sleep(BEGIN_S)
+            await asyncio.sleep(CRASH_DELAY_S)
             self.crash()
             return False
         call_id = call.call_id
-        if act in (Act.STREAM, Act.CUT):
-            return await self._stream(writer, call, call_id, is_cut=act is Act.CUT)
-        return await self._answer(writer, act, call_id)
-
-    def _is_overrun(self, now_s: float) -> bool:
-        """Whether a cold runner has got more calls in a second than it bears."""
+        if response in (Act.STREAM, Act.CUT):
+            return await self._send_stream(
+                writer, call, call_id, is_truncated=response is Act.CUT
+            )
+        return await self._send_response(writer, response, call_id)
+
+    def _exceeds_cold_limit(self, now_s: float) -> bool:
+        """Return whether the calls of the last second crash a cold runner; count crashes."""
         if now_s >= self.cold_until_s or not self.cold_calls_per_s:
             return False
-        most = COLD_OVERRUN * self.cold_calls_per_s + COLD_SLACK
-        lately = sum(call.at_s > now_s - 1.0 for call in self.calls)
-        if lately <= most:
+        max_calls = COLD_OVERLOAD_FACTOR * self.cold_calls_per_s + COLD_OVERLOAD_MARGIN
+        recent_calls = sum(call.at_s > now_s - 1.0 for call in self.calls)
+        if recent_calls <= max_calls:
             return False
-        self.overruns += 1
+        self.overload_crashes += 1
         return True
 
-    def _signals(self) -> dict[str, str]:
-        """Return the headers by which every answer tells of the runner itself."""
+    def _signal_headers(self) -> dict[str, str]:
+        """Return the headers with the runner's own signals, part of every response."""
         fields = {names.DRAINING: names.DRAINING_VALUE} if self.is_draining else {}
         if self.idle_kept_s is not None:
             fields["Keep-Alive"] = f"timeout={self.idle_kept_s}"
         return fields
 
-    def _next_act(self, target: str) -> Act:
+    def _next_response(self, target: str) -> Act:
         if self.is_shedding:
             return Act.REFUSE
-        return self.script.pop(0) if self.script else self._usual(target)
+        return self.script.pop(0) if self.script else self._default_response(target)
 
-    def _usual(self, target: str) -> Act:
-        for prefix, act in self.answers_by_path.items():
+    def _default_response(self, target: str) -> Act:
+        for prefix, response in self.answers_by_path.items():
             if target.startswith(prefix):
-                return act
+                return response
         return self.usual
 
-    async def _answer(
-        self, writer: asyncio.StreamWriter, act: Act, call_id: str
+    async def _send_response(
+        self, writer: asyncio.StreamWriter, response: Act, call_id: str
     ) -> bool:
-        if act is Act.HANG:
-            await asyncio.sleep(FOREVER_S)
-        if act is Act.SLOW:
-            await asyncio.sleep(SLOW_S)
-        if act is Act.RESET:
+        if response is Act.HANG:
+            await asyncio.sleep(HANG_S)
+        if response is Act.SLOW:
+            await asyncio.sleep(SLOW_RESPONSE_DELAY_S)
+        if response is Act.RESET:
             _reset(writer)
             return False
         body = f"answer to {call_id}".encode()
-        if act is Act.CROSSED:
+        if response is Act.CROSSED:
             call_id = "another-call"
-        status = STATUSES.get(act, "200 OK")
-        fields = {names.CALL_ID: call_id, **self._signals()}
-        if act is Act.REFUSE:
+        status = STATUS_LINES.get(response, "200 OK")
+        fields = {names.CALL_ID: call_id, **self._signal_headers()}
+        if response is Act.REFUSE:
             fields[names.NOT_EXECUTED] = "1"
             if self.retry_after_s:
                 fields[names.RETRY_AFTER] = f"{self.retry_after_s:g}"
-        elif act is not Act.NO_PROOF:
+        elif response is not Act.NO_PROOF:
             fields[names.PROOF] = PROOF
-        if act in (Act.UNFRAMED, Act.UNFRAMED_RESET):
-            return await self._answer_unframed(writer, act, fields, body)
-        whole = _head(status, {**fields, "Content-Length": str(len(body))}) + body
-        writer.write(whole)
+        if response in (Act.UNFRAMED, Act.UNFRAMED_RESET):
+            return await self._send_unframed(writer, response, fields, body)
+        message = (
+            _encode_head(status, {**fields, "Content-Length": str(len(body))}) + body
+        )
+        writer.write(message)
         await writer.drain()
-        if act is Act.EXTRA:
-            await asyncio.sleep(LATE_S)
-            writer.write(whole)
+        if response is Act.EXTRA:
+            await asyncio.sleep(LATE_RESPONSE_DELAY_S)
+            writer.write(message)
         return True
 
-    async def _answer_unframed(
+    async def _send_unframed(
         self,
         writer: asyncio.StreamWriter,
-        act: Act,
+        response: Act,
         fields: dict[str, str],
         body: bytes,
     ) -> bool:
-        if act is Act.UNFRAMED:
-            writer.write(_head("200 OK", fields) + body)
+        if response is Act.UNFRAMED:
+            writer.write(_encode_head("200 OK", fields) + body)
             await writer.drain()
             return False
-        writer.write(_head("200 OK", fields) + body[: len(body) // 2])
+        writer.write(_encode_head("200 OK", fields) + body[: len(body) // 2])
         await writer.drain()
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(LATE_RESPONSE_DELAY_S)
         _reset(writer)
         return False
 
-    async def _stream(
+    async def _send_stream(
         self,
         writer: asyncio.StreamWriter,
-        call: SeenCall,
+        call: ReceivedCall,
         call_id: str,
         *,
-        is_cut: bool,
+        is_truncated: bool,
     ) -> bool:
         fields = {
             names.CALL_ID: call_id,
             names.PROOF: PROOF,
-            **self._signals(),
+            **self._signal_headers(),
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
         }
-        writer.write(_head("200 OK", fields))
-        first = int(call.fields.get(names.LAST_EVENT.lower(), "0")) + 1
-        for number in range(first, EVENTS + 1):
+        writer.write(_encode_head("200 OK", fields))
+        first_event = int(call.fields.get(names.LAST_EVENT.lower(), "0")) + 1
+        for number in range(first_event, EVENTS + 1):
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
-            if is_cut and number == EVENTS // 2:
-                writer.write(_chunk(event[: len(event) // 2]))
+            if is_truncated and number == EVENTS // 2:
+                writer.write(_encode_chunk(event[: len(event) // 2]))
                 await writer.drain()
-                await asyncio.sleep(LATE_S)
+                await asyncio.sleep(LATE_RESPONSE_DELAY_S)
                 _reset(writer)
                 return False
-            writer.write(_chunk(event))
+            writer.write(_encode_chunk(event))
             await writer.drain()
             await asyncio.sleep(self.event_pause_s)
-        writer.write(_chunk(b""))
+        writer.write(_encode_chunk(b""))
         await writer.drain()
         return True
 
 
-async def _read_call(reader: asyncio.StreamReader, first: bytes) -> SeenCall:
-    head = (first + await reader.readuntil(b"\r\n\r\n")).decode()
+async def _read_call(reader: asyncio.StreamReader, first_byte: bytes) -> ReceivedCall:
+    head = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode()
     request_line, *lines = head.strip().split("\r\n")
     method, target, _ = request_line.split(" ")
     fields = {}
@@ -332,20 +339,20 @@
         name, _, value = line.partition(":")
         fields[name.strip().lower()] = value.strip()
     body = await reader.readexactly(int(fields.get("content-length", "0")))
-    return SeenCall(method, target, fields, body)
+    return ReceivedCall(method, target, fields, body)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Reset the connection; an ordinary close would end it in order."""
-    held = writer.get_extra_info("socket")
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Reset the connection rather than closing it in order."""
+    sock = writer.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def _head(status: str, fields: dict[str, str]) -> bytes:
+def _encode_head(status: str, fields: dict[str, str]) -> bytes:
     lines = [f"HTTP/1.1 {status}", *(f"{name}: {fields[name]}" for name in fields)]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def _chunk(body: bytes) -> bytes:
+def _encode_chunk(body: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(body), body)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/written_specs.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/written_specs.py
@@ -1,4 +1,4 @@
-"""What the operator and the runners write into the store, in the platform's words."""
+"""Store objects of the operator and the runners, in the platform's schema."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 SLOTS = 8
 TIMEOUT_MS = 3_000
-OBJECTIVE_MS = 500
-PAUSE_OBJECTIVE_MS = 400
+TARGET_LATENCY_MS = 500
+MAX_EVENT_GAP_MS = 400
 
 
 def state_spec(
@@ -19,7 +19,10 @@
     cold_s: float = 0.0,
     cold_calls_per_s: float = 0.0,
 ) -> dict[str, Any]:
-    """Return a desired state with one team; runners are cold after their start."""
+    """Return a desired state with one team.
+
+    Runners are cold for ``cold_s`` seconds after their start; 0 means never.
+    """
     pools = sorted({route["service"] for route in routes})
     return {
         "version": version,
@@ -41,21 +44,21 @@
 def route_spec(
     *, hostname: str, kind: str, pool: str, most_runners: int, is_resumable: bool
 ) -> dict[str, Any]:
-    """Return a route that is named after its kind and lies below that name."""
+    """Return a route whose name and path prefix are its kind."""
     return {
         "name": kind,
         "hostname": hostname,
         "pathPrefix": f"/{kind}/",
         "kind": kind,
         "timeoutMs": TIMEOUT_MS,
-        "targetLatencyMs": OBJECTIVE_MS,
+        "targetLatencyMs": TARGET_LATENCY_MS,
         "priority": 1,
         "service": pool,
         "maxAttempts": most_runners,
         "public": False,
         "sticky": False,
         "resumable": is_resumable,
-        "gapAimMs": PAUSE_OBJECTIVE_MS,
+        "gapAimMs": MAX_EVENT_GAP_MS,
     }
 
 
@@ -68,7 +71,7 @@
     born_ms: int | None = None,
     cold_ms: int = 0,
 ) -> dict[str, Any]:
-    """Return a runner's entry; most runners do not say when they were born."""
+    """Return a runner's entry, with its start time in ms only if one is given."""
     born = {} if born_ms is None else {"born": born_ms}
     return {
         **born,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/__init__.py
@@ -1,3 +1,3 @@
-"""A randomized soak: real node processes, faults from outside, promises checked."""
+"""Randomized soak test: real node processes, injected faults, audited guarantees."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
@@ -1,4 +1,4 @@
-"""Check the promises of a soak from what callers and runners saw."""
+"""Check the guarantees of the fleet against what callers and runners observed."""
 
 from __future__ import annotations
 
@@ -13,272 +13,290 @@
     from collections.abc import Iterable
 
     from clementineyoke_standins.soak.caller import CallRecord
-    from clementineyoke_standins.soak.operator_state import EmptiedZone, WithdrawnKey
+    from clementineyoke_standins.soak.operator_state import WithdrawnKey, ZoneEvacuation
 
-PROMISES = frozenset((408, 421, 429, 503))
-"""Statuses that promise that the call has not run and never will."""
-WHOLE_STREAM = "".join(f"id: {n}\ndata: piece {n}\n\n" for n in range(1, EVENTS + 1))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that guarantee that the call was not executed and never will be."""
+COMPLETE_STREAM = "".join(f"id: {n}\ndata: piece {n}\n\n" for n in range(1, EVENTS + 1))
 STATUS_OK = 200
-BLAMED = "check_crashes"
-"""Step of a refusal for runners that ended under the same request."""
-DENIALS = frozenset((400, 401, 403, 404))
-APPLY_S = 2.0
-"""How soon a desired state or a runner's leave is in force at a node in touch."""
-BACKOFF_BEGINS_S = 0.5
-"""How soon after a refusal with a time the node that got it must back off."""
-MOST_IN_BACKOFF = 2
-CLOCK_SLACK_S = 0.5
-"""For what lies between the store's word and the soak's own clock reading."""
-
-
-class RunnerSight(NamedTuple):
-    """A call as a runner saw it."""
+CRASH_CHECK_STEP = "check_crashes"
+"""Step named in the refusal of a request for which runners have crashed."""
+REJECTED_STATUSES = frozenset((400, 401, 403, 404))
+"""Statuses of calls that a node rejects without forwarding them."""
+APPLY_DEADLINE_S = 2.0
+"""Time within which a connected node applies a desired state or a runner's leave."""
+BACKOFF_START_DEADLINE_S = 0.5
+"""Time after a refusal with ``Retry-After`` within which the node must back off."""
+MAX_CALLS_IN_BACKOFF = 2
+CLOCK_TOLERANCE_S = 0.5
+"""Allowance for the delay between the store's reply and the soak's clock reading."""
+
+
+class RunnerObservation(NamedTuple):
+    """A call as a runner received it."""
 
     runner_id: str
     call_id: str
-    at_s: float
-    has_run: bool
+    received_s: float
+    was_executed: bool
     zone: str = ""
-    """Where the runner is."""
+    """Availability zone of the runner."""
     lifetime: int = 0
-    """Which of the runner's lifetimes saw it."""
-    says_draining: bool = False
-    """Whether its answer signalled that the runner drains."""
+    """Number of the runner's lifetime that received the call."""
+    signals_draining: bool = False
+    """Whether the response signalled that the runner is draining."""
     retry_after_s: float = 0.0
-    """Time that its refusal bore; 0 for none."""
+    """``Retry-After`` of the refusal; 0 if there was none."""
 
 
 class Span(NamedTuple):
-    """A time from a beginning to an end; monotonic."""
+    """A period of monotonic time."""
 
-    from_s: float
-    until_s: float
+    start_s: float
+    end_s: float
 
 
-class Restart(NamedTuple):
-    """A node that was restarted or paused; None for all of them."""
+class NodeInterruption(NamedTuple):
+    """A restart or pause of one node, or of all nodes if the node is None."""
 
     node: int | None
     span: Span
 
 
 class Evidence(NamedTuple):
-    """What the soak saw."""
+    """What the soak observed."""
 
     calls: list[CallRecord]
-    sights: list[RunnerSight]
-    issued: dict[str, float]
-    """When the store confirmed the first version with a key."""
-    withdrawn: list[WithdrawnKey]
-    left: dict[str, float]
-    """When the store confirmed a runner's leave."""
-    emptied: list[EmptiedZone]
-    overruns: dict[str, int]
-    """How often a cold runner ended for more calls than it bore."""
-    ends: dict[str, list[float]]
-    """When each lifetime of a runner ended, the first one first."""
-    calm: list[Span]
-    """Without fault or restart; promises with a time bind in them."""
-    planned_only: list[Span]
-    """With planned work at most: stops in order, changes of state, runners leaving."""
-    restarts: list[Restart]
-    cuts: list[Span]
-    """In which the path to a runner failed."""
+    observations: list[RunnerObservation]
+    key_issued_s: dict[str, float]
+    """Time at which the store confirmed the first state version with a key."""
+    withdrawn_keys: list[WithdrawnKey]
+    runner_left_s: dict[str, float]
+    """Time at which the store confirmed that a runner leaves."""
+    evacuations: list[ZoneEvacuation]
+    overload_crashes: dict[str, int]
+    """Number of crashes of each cold runner by more calls than its limit."""
+    crash_times_s: dict[str, list[float]]
+    """Crash time of each lifetime of a runner, the first lifetime first."""
+    undisturbed: list[Span]
+    """Periods without disruptive faults, in which guarantees with a deadline hold."""
+    planned_work_only: list[Span]
+    """Periods with orderly stops, state changes and leaving runners at most."""
+    interruptions: list[NodeInterruption]
+    runner_link_faults: list[Span]
+    """Periods in which the path to a runner failed."""
 
 
 def audit(evidence: Evidence, *, is_timed: bool) -> list[str]:
-    """Return each broken promise in one line.
+    """Return one line for each violated guarantee.
 
-    Promises with a time are left out where the machine's load would decide.
+    Guarantees with a deadline are checked only if ``is_timed`` is set: on a loaded
+    machine the load would decide whether they hold.
     """
-    runs: dict[str, list[RunnerSight]] = defaultdict(list)
-    for sight in evidence.sights:
-        if sight.has_run:
-            runs[sight.call_id].append(sight)
-    broken = [*_check_answers(evidence.calls), *_check_runs(evidence.calls, runs)]
-    broken += _check_blame(evidence.calls)
+    executions: dict[str, list[RunnerObservation]] = defaultdict(list)
+    for observation in evidence.observations:
+        if observation.was_executed:
+            executions[observation.call_id].append(observation)
+    violations = [
+        *_check_responses(evidence.calls),
+        *_check_executions(evidence.calls, executions),
+    ]
+    violations += _check_crash_refusals(evidence.calls)
     if is_timed:
-        broken += _check_cuts(evidence, runs)
-        broken += _check_keys(evidence, runs)
-        broken += _check_leaves(evidence)
-        broken += _check_zones(evidence)
-        broken += _check_cold(evidence)
-        broken += _check_draining(evidence, runs)
-        broken += _check_backoffs(evidence)
-    return broken
+        violations += _check_interrupted_calls(evidence, executions)
+        violations += _check_keys(evidence, executions)
+        violations += _check_leaving_runners(evidence)
+        violations += _check_evacuations(evidence)
+        violations += _check_cold_runners(evidence)
+        violations += _check_draining(evidence, executions)
+        violations += _check_backoffs(evidence)
+    return violations
 
 
-def _check_answers(calls: Iterable[CallRecord]) -> Iterable[str]:
+def _check_responses(calls: Iterable[CallRecord]) -> Iterable[str]:
     for call in calls:
         if call.status != STATUS_OK:
             continue
-        if call.body not in _whole_answers(call):
-            yield f"{call.call_id}: not its own whole answer: {call.body!r}"
+        if call.body not in _expected_bodies(call):
+            yield f"{call.call_id}: response body is wrong or incomplete: {call.body!r}"
         if not call.has_proof:
-            yield f"{call.call_id}: a success without the runner's proof"
+            yield f"{call.call_id}: successful response without the runner's signature"
 
 
-def _whole_answers(call: CallRecord) -> tuple[str, ...]:
+def _expected_bodies(call: CallRecord) -> tuple[str, ...]:
     plain = f"answer to {call.call_id}"
     if call.kind is RouteKind.STREAM:
-        # A runner that spoils its answers may also answer a stream's call at once.
-        return (WHOLE_STREAM, plain)
+        # A runner with a fault script may answer a streaming call without a stream.
+        return (COMPLETE_STREAM, plain)
     return (plain,)
 
 
-def _check_runs(
-    calls: Iterable[CallRecord], runs: dict[str, list[RunnerSight]]
+def _check_executions(
+    calls: Iterable[CallRecord], executions: dict[str, list[RunnerObservation]]
 ) -> Iterable[str]:
     for call in calls:
-        seen = runs.get(call.call_id, [])
-        if call.kind is RouteKind.NON_IDEMPOTENT and len(seen) > 1:
-            yield f"{call.call_id}: ran {len(seen)} times"
-        if call.status in PROMISES and seen and call.kind is RouteKind.NON_IDEMPOTENT:
-            yield f"{call.call_id}: told {call.status} and ran"
-        if call.status in DENIALS and seen:
-            yield f"{call.call_id}: told {call.status} and ran"
-
-
-def _check_blame(calls: Iterable[CallRecord]) -> Iterable[str]:
-    """Find calls that are refused for runners that another request has ended."""
+        seen = executions.get(call.call_id, [])
+        is_non_idempotent = call.kind is RouteKind.NON_IDEMPOTENT
+        if is_non_idempotent and len(seen) > 1:
+            yield f"{call.call_id}: executed {len(seen)} times"
+        if call.status in NOT_EXECUTED_STATUSES and seen and is_non_idempotent:
+            yield f"{call.call_id}: answered with {call.status} but executed"
+        if call.status in REJECTED_STATUSES and seen:
+            yield f"{call.call_id}: answered with {call.status} but executed"
+
+
+def _check_crash_refusals(calls: Iterable[CallRecord]) -> Iterable[str]:
+    """Find calls that are refused for crashes that another request has caused."""
     for call in calls:
-        if BLAMED in call.body and not call.ends_runners:
-            yield f"{call.call_id}: refused for what it stood beside"
+        if CRASH_CHECK_STEP in call.body and not call.crashes_runners:
+            yield f"{call.call_id}: refused for crashes caused by another request"
 
 
-def _check_cuts(
-    evidence: Evidence, runs: dict[str, list[RunnerSight]]
+def _check_interrupted_calls(
+    evidence: Evidence, executions: dict[str, list[RunnerObservation]]
 ) -> Iterable[str]:
-    """Find calls that a runner had begun and that planned work cut."""
+    """Find calls that a runner had started and that planned work interrupted."""
     for call in evidence.calls:
-        seen = runs.get(call.call_id)
+        seen = executions.get(call.call_id)
         if call.status is not None or not seen:
             continue
-        if any(_has_ended(evidence, sight, call.ended_s) for sight in seen):
+        if any(_has_crashed(evidence, item, call.ended_s) for item in seen):
             continue
-        if _is_in(evidence.planned_only, call.sent_s, call.ended_s):
-            yield f"{call.call_id}: ran and was cut by planned work: {call.reason}"
+        if _is_within(evidence.planned_work_only, call.sent_s, call.ended_s):
+            yield f"{call.call_id}: interrupted by planned work: {call.reason}"
 
 
-def _has_ended(evidence: Evidence, sight: RunnerSight, until_s: float) -> bool:
-    """Whether the lifetime that saw a call ended before the call did."""
-    ends = evidence.ends[sight.runner_id]
-    return sight.lifetime < len(ends) and ends[sight.lifetime] <= until_s
+def _has_crashed(
+    evidence: Evidence, observation: RunnerObservation, until_s: float
+) -> bool:
+    """Return whether the lifetime that received a call crashed before it ended."""
+    crash_times_s = evidence.crash_times_s[observation.runner_id]
+    lifetime = observation.lifetime
+    return lifetime < len(crash_times_s) and crash_times_s[lifetime] <= until_s
 
 
 def _check_keys(
-    evidence: Evidence, runs: dict[str, list[RunnerSight]]
+    evidence: Evidence, executions: dict[str, list[RunnerObservation]]
 ) -> Iterable[str]:
-    """Find withdrawn keys that ran something, and good ones that were refused."""
-    withdrawn_s = {entry.key: entry.confirmed_s for entry in evidence.withdrawn}
+    """Find calls executed with a withdrawn key or rejected with a valid one."""
+    withdrawn_s = {entry.key: entry.confirmed_s for entry in evidence.withdrawn_keys}
     for call in evidence.calls:
-        settled_s = call.sent_s - APPLY_S - CLOCK_SLACK_S
-        if not _is_in(evidence.calm, settled_s, call.ended_s):
+        applied_s = call.sent_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+        if not _is_within(evidence.undisturbed, applied_s, call.ended_s):
             continue
-        gone_s = withdrawn_s.get(call.key, math.inf)
-        if gone_s <= settled_s and runs.get(call.call_id):
-            late_s = call.sent_s - gone_s
-            yield f"{call.call_id}: ran {late_s:.1f} s after its key was withdrawn"
-        is_good = evidence.issued[call.key] <= settled_s and call.ended_s < gone_s
-        if is_good and call.status in DENIALS:
-            yield f"{call.call_id}: told {call.status} though {call.key} is good"
-
-
-def _check_leaves(evidence: Evidence) -> Iterable[str]:
-    """Find new work that reached a leaving runner after the bound."""
+        key_end_s = withdrawn_s.get(call.key, math.inf)
+        if key_end_s <= applied_s and executions.get(call.call_id):
+            delay_s = call.sent_s - key_end_s
+            yield f"{call.call_id}: executed {delay_s:.1f} s after its key's withdrawal"
+        is_valid = (
+            evidence.key_issued_s[call.key] <= applied_s and call.ended_s < key_end_s
+        )
+        if is_valid and call.status in REJECTED_STATUSES:
+            yield f"{call.call_id}: {call.status} for {call.key}, which is valid"
+
+
+def _check_leaving_runners(evidence: Evidence) -> Iterable[str]:
+    """Find new calls that reached a leaving runner after the deadline."""
     sent_s = {call.call_id: call.sent_s for call in evidence.calls}
-    for sight in evidence.sights:
-        settled_s = sight.at_s - APPLY_S - CLOCK_SLACK_S
-        since_s = evidence.left.get(sight.runner_id, math.inf)
-        is_new = sent_s.get(sight.call_id, 0.0) > since_s
-        if since_s > settled_s or not is_new:
+    for observation in evidence.observations:
+        applied_s = observation.received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+        left_s = evidence.runner_left_s.get(observation.runner_id, math.inf)
+        is_new = sent_s.get(observation.call_id, 0.0) > left_s
+        if left_s > applied_s or not is_new:
             continue
-        if _is_in(evidence.calm, settled_s, sight.at_s):
-            late_s = sight.at_s - since_s
-            yield f"{sight.call_id}: reached {sight.runner_id} {late_s:.1f} s too late"
+        if _is_within(evidence.undisturbed, applied_s, observation.received_s):
+            delay_s = observation.received_s - left_s
+            yield (
+                f"{observation.call_id}: reached {observation.runner_id}"
+                f" {delay_s:.1f} s after it began to leave"
+            )
 
 
-def _check_zones(evidence: Evidence) -> Iterable[str]:
-    """Find calls that reached a runner of an emptied zone after the bound."""
-    for zone, from_s, until_s in evidence.emptied:
-        for sight in evidence.sights:
-            settled_s = sight.at_s - APPLY_S - CLOCK_SLACK_S
-            if sight.zone != zone or not from_s <= settled_s or sight.at_s > until_s:
+def _check_evacuations(evidence: Evidence) -> Iterable[str]:
+    """Find calls that reached a runner of an evacuated zone after the deadline."""
+    for zone, start_s, end_s in evidence.evacuations:
+        for observation in evidence.observations:
+            received_s = observation.received_s
+            applied_s = received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+            is_evacuated = start_s <= applied_s and received_s <= end_s
+            if observation.zone != zone or not is_evacuated:
                 continue
-            if _is_in(evidence.calm, settled_s, sight.at_s):
-                late_s = sight.at_s - from_s
+            if _is_within(evidence.undisturbed, applied_s, received_s):
+                delay_s = received_s - start_s
                 yield (
-                    f"{sight.call_id}: reached {sight.runner_id} {late_s:.1f} s after"
-                    f" its zone was emptied"
+                    f"{observation.call_id}: reached {observation.runner_id}"
+                    f" {delay_s:.1f} s after the evacuation of its zone"
                 )
 
 
-def _check_cold(evidence: Evidence) -> Iterable[str]:
-    """Find cold runners that ended for more calls than they bore."""
-    for runner_id, times in evidence.overruns.items():
+def _check_cold_runners(evidence: Evidence) -> Iterable[str]:
+    """Find cold runners that crashed because they received too many calls."""
+    for runner_id, times in evidence.overload_crashes.items():
         if times:
-            yield f"{runner_id}: got more calls than it bore while cold, {times} times"
+            yield f"{runner_id}: exceeded its call limit while cold, {times} times"
 
 
 def _check_draining(
-    evidence: Evidence, runs: dict[str, list[RunnerSight]]
+    evidence: Evidence, executions: dict[str, list[RunnerObservation]]
 ) -> Iterable[str]:
-    """Find calls to a runner whose draining their node had passed on."""
-    told_s: dict[tuple[int, str, int], float] = {}
+    """Find calls to a runner whose draining signal their node had already relayed."""
+    signalled_s: dict[tuple[int, str, int], float] = {}
     for call in evidence.calls:
-        seen = runs.get(call.call_id, [])
-        if call.status == STATUS_OK and len(seen) == 1 and seen[0].says_draining:
+        seen = executions.get(call.call_id, [])
+        if call.status == STATUS_OK and len(seen) == 1 and seen[0].signals_draining:
             key = (call.node, seen[0].runner_id, seen[0].lifetime)
-            told_s[key] = min(told_s.get(key, math.inf), call.ended_s)
+            signalled_s[key] = min(signalled_s.get(key, math.inf), call.ended_s)
     calls = {call.call_id: call for call in evidence.calls}
-    for sight in evidence.sights:
-        if sight.call_id not in calls:
-            continue  # its caller was gone before the end
-        call = calls[sight.call_id]
-        since_s = told_s.get((call.node, sight.runner_id, sight.lifetime), math.inf)
-        if call.sent_s <= since_s + APPLY_S:
+    for observation in evidence.observations:
+        if observation.call_id not in calls:
+            continue  # the caller was cancelled before it recorded the call
+        call = calls[observation.call_id]
+        key = (call.node, observation.runner_id, observation.lifetime)
+        since_s = signalled_s.get(key, math.inf)
+        if call.sent_s <= since_s + APPLY_DEADLINE_S:
             continue
-        if not _has_restarted(evidence, call.node, since_s, sight.at_s):
-            late_s = call.sent_s - since_s
+        if not _was_interrupted(evidence, call.node, since_s, observation.received_s):
+            delay_s = call.sent_s - since_s
             yield (
-                f"{call.call_id}: reached {sight.runner_id} {late_s:.1f} s after"
-                f" node-{call.node} had passed on its draining"
+                f"{call.call_id}: reached {observation.runner_id} {delay_s:.1f} s after"
+                f" node-{call.node} had relayed its draining signal"
             )
 
 
 def _check_backoffs(evidence: Evidence) -> Iterable[str]:
     """Find calls to a runner that had asked their node to back off."""
     nodes = {call.call_id: call.node for call in evidence.calls}
-    by_sender: dict[tuple[int, str, int], list[RunnerSight]] = defaultdict(list)
-    for sight in evidence.sights:
-        if sight.call_id in nodes:
-            key = (nodes[sight.call_id], sight.runner_id, sight.lifetime)
-            by_sender[key].append(sight)
-    for (node, runner_id, _), sights in by_sender.items():
-        for refusal in sights:
-            from_s = refusal.at_s + BACKOFF_BEGINS_S
-            until_s = refusal.at_s + refusal.retry_after_s
-            got = sum(from_s < sight.at_s < until_s for sight in sights)
-            is_excused = _has_restarted(
-                evidence, node, refusal.at_s, until_s
-            ) or _overlaps(evidence.cuts, refusal.at_s, until_s)
-            if got > MOST_IN_BACKOFF and not is_excused:
+    by_sender: dict[tuple[int, str, int], list[RunnerObservation]] = defaultdict(list)
+    for observation in evidence.observations:
+        if observation.call_id in nodes:
+            node = nodes[observation.call_id]
+            key = (node, observation.runner_id, observation.lifetime)
+            by_sender[key].append(observation)
+    for (node, runner_id, _), observations in by_sender.items():
+        for refusal in observations:
+            start_s = refusal.received_s + BACKOFF_START_DEADLINE_S
+            end_s = refusal.received_s + refusal.retry_after_s
+            count = sum(start_s < item.received_s < end_s for item in observations)
+            is_exempt = _was_interrupted(
+                evidence, node, refusal.received_s, end_s
+            ) or _overlaps(evidence.runner_link_faults, refusal.received_s, end_s)
+            if count > MAX_CALLS_IN_BACKOFF and not is_exempt:
                 yield (
-                    f"{runner_id}: got {got} calls from node-{node} in"
+                    f"{runner_id}: received {count} calls from node-{node} during"
                     f" {refusal.retry_after_s} s of backoff"
                 )
 
 
-def _has_restarted(
-    evidence: Evidence, node: int, from_s: float, until_s: float
+def _was_interrupted(
+    evidence: Evidence, node: int, start_s: float, end_s: float
 ) -> bool:
-    spans = [span for number, span in evidence.restarts if number in (None, node)]
-    return _overlaps(spans, from_s, until_s)
+    spans = [span for number, span in evidence.interruptions if number in (None, node)]
+    return _overlaps(spans, start_s, end_s)
 
 
-def _overlaps(spans: list[Span], from_s: float, until_s: float) -> bool:
-    return any(span.from_s <= until_s and from_s <= span.until_s for span in spans)
+def _overlaps(spans: list[Span], start_s: float, end_s: float) -> bool:
+    return any(span.start_s <= end_s and start_s <= span.end_s for span in spans)
 
 
-def _is_in(spans: list[Span], from_s: float, until_s: float) -> bool:
-    return any(span.from_s <= from_s and until_s <= span.until_s for span in spans)
+def _is_within(spans: list[Span], start_s: float, end_s: float) -> bool:
+    return any(span.start_s <= start_s and end_s <= span.end_s for span in spans)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep connections, and record what became of each call."""
+"""Callers of the soak, which reuse connections and record the result of each call."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from clementineyoke_standins.soak.loopback import Endpoint
     from clementineyoke_standins.soak.operator_state import OperatorState
 
-PAUSE_S = 0.06
-BUDGET_MS = 2_000
-KINDS = tuple(RouteKind)
-WITHDRAWN_SHARE = 0.1
-"""Share of calls that show a key which the operator has withdrawn."""
+MEAN_PAUSE_S = 0.06
+DEADLINE_MS = 2_000
+ROUTE_KINDS = tuple(RouteKind)
+WITHDRAWN_KEY_FRACTION = 0.1
+"""Share of calls that are sent with a key which the operator has withdrawn."""
 
 
 class CallRecord(NamedTuple):
-    """One call as its caller saw it."""
+    """Result of one call as its caller observed it."""
 
     call_id: str
     kind: RouteKind
@@ -34,19 +34,19 @@
     sent_s: float
     ended_s: float
     status: int | None
-    """None when no whole answer came."""
+    """None if no complete response was received."""
     body: str
     has_proof: bool
     reason: str = ""
-    ends_runners: bool = False
-    """Whether each runner that begins to run it ends."""
+    crashes_runners: bool = False
+    """Whether the call crashes each runner that starts to execute it."""
 
 
 class Caller:
-    """Call one node after another, each over a connection that is kept.
+    """Call random nodes, each over a persistent connection.
 
-    A caller goes on using its connection until it breaks, also while the node behind it
-    stops: that is when a stop in haste loses calls.
+    A caller goes on using a connection until it breaks, also while the node behind it
+    shuts down: that is when a shutdown without draining loses calls.
     """
 
     def __init__(
@@ -64,13 +64,13 @@
         self.records: list[CallRecord] = []
 
     async def run(self) -> None:
-        """Call until cancelled."""
+        """Make calls until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
                 node = self._rng.randrange(len(self._endpoints))
-                kind = self._rng.choice(KINDS)
+                kind = self._rng.choice(ROUTE_KINDS)
                 await self.call(session, node=node, kind=kind, key=self._pick_key())
-                await asyncio.sleep(self._rng.uniform(0.2, 1.8) * PAUSE_S)
+                await asyncio.sleep(self._rng.uniform(0.2, 1.8) * MEAN_PAUSE_S)
 
     async def call(
         self,
@@ -81,13 +81,16 @@
         key: str,
         request_body: bytes | None = None,
     ) -> CallRecord:
-        """Make one call and record it."""
+        """Make one call, record its result and return the record.
+
+        A failure to connect and a timeout are recorded, not raised.
+        """
         call_id = f"{self._name}-{len(self.records)}"
         sent_s = time.monotonic()
-        status, body, proof, reason = None, "", False, ""
+        status, body, has_proof, reason = None, "", False, ""
         try:
-            async with asyncio.timeout(2 * BUDGET_MS / 1000):
-                status, body, proof = await self._exchange(
+            async with asyncio.timeout(2 * DEADLINE_MS / 1000):
+                status, body, has_proof = await self._exchange(
                     session,
                     call_id,
                     node=node,
@@ -106,9 +109,9 @@
             ended_s=time.monotonic(),
             status=status,
             body=body,
-            has_proof=proof,
+            has_proof=has_proof,
             reason=reason,
-            ends_runners=request_body is not None,
+            crashes_runners=request_body is not None,
         )
         self.records.append(record)
         return record
@@ -124,26 +127,26 @@
         request_body: bytes | None,
     ) -> tuple[int, str, bool]:
         method = "GET" if kind is RouteKind.IDEMPOTENT else "POST"
-        fields = {
+        headers = {
             "Host": HOSTNAME,
             names.CALL_ID: call_id,
-            names.TIME_LEFT_MS: str(BUDGET_MS),
+            names.TIME_LEFT_MS: str(DEADLINE_MS),
             names.AUTHORIZATION: f"{names.KEY_SCHEME}{key}",
         }
         url = f"http://{self._endpoints[node]}/{kind.value}/x"
         async with session.request(
-            method, url, headers=fields, data=request_body
+            method, url, headers=headers, data=request_body
         ) as response:
             body = await response.text()
             return response.status, body, names.PROOF in response.headers
 
     @property
-    def good_key(self) -> str:
-        """The key that callers are to use now."""
-        return self._state.key
+    def current_key(self) -> str:
+        """The key that callers must use at present."""
+        return self._state.current_key
 
     def _pick_key(self) -> str:
-        withdrawn = self._state.withdrawn
-        if withdrawn and self._rng.random() < WITHDRAWN_SHARE:
+        withdrawn = self._state.withdrawn_keys
+        if withdrawn and self._rng.random() < WITHDRAWN_KEY_FRACTION:
             return self._rng.choice(withdrawn).key
-        return self._state.key
+        return self._state.current_key
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_proxy.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts or silences connections."""
+"""A TCP proxy on loopback that delays, resets or blocks connections."""
 
 from __future__ import annotations
 
@@ -13,31 +13,32 @@
 
 CHUNK_BYTES = 65_536
 DELAY_S = 0.15
-"""Long against a loopback round trip, short against every time limit of a node."""
+"""Much longer than a loopback round trip, much shorter than any timeout of a node."""
 
 
 class LinkFault(Enum):
-    """What happens to bytes on their way."""
+    """Faults that the proxy injects into its connections."""
 
     DELAY = "delay"
     RESET = "reset"
-    """Open connections are reset, and new ones as soon as they are made."""
-    CUT_THERE = "cut_there"
-    """Nothing reaches the target; its own bytes still come back."""
-    CUT_BACK = "cut_back"
-    """Everything reaches the target; nothing comes back."""
+    """Resets open connections, and new ones as soon as they are accepted."""
+    BLOCK_TO_TARGET = "cut_there"
+    """Drops all bytes to the target; bytes from the target still pass."""
+    BLOCK_FROM_TARGET = "cut_back"
+    """Drops all bytes from the target; bytes to the target still pass."""
     SILENT = "silent"
+    """Drops all bytes in both directions."""
 
 
-BLOCKS_THERE = frozenset((LinkFault.CUT_THERE, LinkFault.SILENT))
-BLOCKS_BACK = frozenset((LinkFault.CUT_BACK, LinkFault.SILENT))
+BLOCKING_TO_TARGET = frozenset((LinkFault.BLOCK_TO_TARGET, LinkFault.SILENT))
+BLOCKING_FROM_TARGET = frozenset((LinkFault.BLOCK_FROM_TARGET, LinkFault.SILENT))
 
 
 class FaultProxy:
-    """Own a listening socket and the connections through it.
+    """Forward connections to a target and inject faults into them.
 
-    A connection that a fault has blocked stays blocked when the fault is over: bytes
-    were lost on it, and only a time limit of the node's own shows that.
+    A connection that a fault has blocked stays blocked after the fault: bytes were lost
+    on it, and a node can detect that only by its own timeout.
     """
 
     def __init__(self, *, listen: Endpoint, target: Endpoint) -> None:
@@ -48,35 +49,35 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def __aenter__(self) -> Self:
-        """Begin to listen."""
-        await self.come_up()
+        """Start to listen."""
+        await self.start()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Close everything."""
-        self.go_down()
+        """Stop listening and reset all connections."""
+        self.stop()
 
-    async def come_up(self) -> None:
-        """Listen, for the first time or after the target was down."""
+    async def start(self) -> None:
+        """Listen, for the first time or after ``stop``."""
         self._server = await asyncio.start_server(
             self._serve, self.listen.address, self.listen.port
         )
 
-    def go_down(self) -> None:
-        """Take no connections and break those that there are, as a dead target does."""
+    def stop(self) -> None:
+        """Stop listening and reset all connections, as if the target had crashed."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self._reset_all()
 
-    def begin(self, fault: LinkFault) -> None:
-        """Let a fault begin; open connections meet it too."""
+    def start_fault(self, fault: LinkFault) -> None:
+        """Start a fault, which also affects open connections."""
         self.fault = fault
         if fault is LinkFault.RESET:
             self._reset_all()
 
-    def heal(self) -> None:
-        """End the fault for new connections."""
+    def clear_fault(self) -> None:
+        """Stop the fault for new connections."""
         self.fault = None
 
     async def _serve(
@@ -87,18 +88,18 @@
             self._reset(writer)
             return
         try:
-            there_reader, there_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
-            self._reset(writer)  # the target is down: the caller sees it so
+            self._reset(writer)  # show the caller that the target is down
             return
-        self._writers.add(there_writer)
+        self._writers.add(target_writer)
         try:
             await asyncio.gather(
-                self._pump(reader, there_writer, BLOCKS_THERE),
-                self._pump(there_reader, writer, BLOCKS_BACK),
+                self._pump(reader, target_writer, BLOCKING_TO_TARGET),
+                self._pump(target_reader, writer, BLOCKING_FROM_TARGET),
             )
         except asyncio.CancelledError:
-            return  # the soak is over
+            return  # the soak has ended
 
     async def _pump(
         self,
@@ -117,7 +118,7 @@
                 writer.write(chunk)
                 await writer.drain()
         except ConnectionError:
-            self._reset(writer)  # a reset on one side is one on the other
+            self._reset(writer)  # forward a reset from one side to the other
             return
         if not is_blocked:
             self._writers.discard(writer)
@@ -129,9 +130,9 @@
 
     def _reset(self, writer: asyncio.StreamWriter) -> None:
         self._writers.discard(writer)
-        held = writer.get_extra_info("socket")
-        if held is not None and held.fileno() >= 0:
-            # An ordinary close would end the connection in order.
+        sock = writer.get_extra_info("socket")
+        if sock is not None and sock.fileno() >= 0:
+            # With a linger time of 0, the connection is reset rather than closed.
             linger = struct.pack("ii", 1, 0)
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         writer.transport.abort()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/loopback.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/loopback.py
@@ -1,4 +1,4 @@
-"""Addresses of a soak: all on loopback, ports free when they were looked for."""
+"""Loopback addresses and free ports for fleets in tests."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from typing import NamedTuple
 
 FIRST_PORT = 10_000
-PORTS = 22_000
-"""The range below the one from which the kernel takes ports for connections."""
-STRIDE = 307
-"""Between the first ports of two processes; a fleet takes a dozen."""
-_turns = itertools.count(os.getpid() * STRIDE)
+PORT_COUNT = 22_000
+"""Size of the range, which ends below the kernel's range of ephemeral ports."""
+PORT_STRIDE = 307
+"""Distance between the first ports of two processes; a fleet uses about 12."""
+_offsets = itertools.count(os.getpid() * PORT_STRIDE)
 
 
 class Endpoint(NamedTuple):
-    """Where something listens."""
+    """An address and port to listen on."""
 
     address: str
     port: int
@@ -27,23 +27,23 @@
 
 
 def node_address(number: int) -> str:
-    """Return the IP number of a node; all nodes use the same ports."""
+    """Return the IP address of a node; all nodes use the same ports."""
     return f"127.0.1.{number + 1}"
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different ports that nothing on loopback uses, for TCP and UDP.
+    """Return distinct ports that are unused on loopback for both TCP and UDP.
 
-    Ports that the kernel hands out are wrong for this. Asked one after the other it
-    names one twice now and then, and between the look and the use it may give one to
-    an outgoing connection: seen as a fleet whose first node cannot open its doors.
+    Ports chosen by the kernel are unsuitable: consecutive requests sometimes return the
+    same port, and before a port is used, the kernel may assign it to an outgoing
+    connection. The first node of a fleet then cannot open its listeners.
     """
-    found: list[int] = []
-    while len(found) < count:
-        port = FIRST_PORT + next(_turns) % PORTS
+    ports: list[int] = []
+    while len(ports) < count:
+        port = FIRST_PORT + next(_offsets) % PORT_COUNT
         if _is_free(port):
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
 
 
 def _is_free(port: int) -> bool:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/node_process.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/node_process.py
@@ -1,4 +1,4 @@
-"""One node as a process of its own, with its settings file."""
+"""A node that runs as a separate process, with its settings file."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 
 
 class NodeProcess:
-    """Own the process; knows which of its ends were ordered."""
+    """Start, signal and stop a node process and record unexpected exits."""
 
     def __init__(self, *, name: str, folder: Path, settings: dict[str, Any]) -> None:
         self.name = name
         self.settings = settings
         self.skew_s = 0
-        """How far the node's time of day is off at its next start."""
-        self.own_ends: list[str] = []
-        """Ends that nobody ordered, and stops that did not end in order."""
+        """Skew of the node's wall clock from its next start, in seconds."""
+        self.failures: list[str] = []
+        """Descriptions of unexpected exits and of failed shutdowns."""
         self._folder = folder
         self._log: IO[bytes] | None = None
         self._process: asyncio.subprocess.Process | None = None
-        self._may_end = False
+        self._is_exit_expected = False
         self._is_killed = False
-        self._log_began = 0
+        self._log_offset = 0
 
     async def __aenter__(self) -> Self:
-        """Write the settings and start."""
+        """Write the settings file and start the process."""
         self._log = self._log_path.open("ab")
         self.write_settings()
         await self.start()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End the process."""
+        """Kill the process."""
         await self.kill()
         if self._log is not None:
             self._log.close()
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
-    def _has_served(self) -> bool:
-        """Whether the process has got so far as to open its doors."""
-        return STARTED_LINE in self._log_path.read_bytes()[self._log_began :]
+    def _has_started(self) -> bool:
+        """Return whether the process has opened its listeners, according to its log."""
+        return STARTED_LINE in self._log_path.read_bytes()[self._log_offset :]
 
     @property
     def _log_path(self) -> Path:
@@ -66,10 +66,10 @@
     def _settings_path(self) -> Path:
         return self._folder / f"{self.name}.json"
 
-    def write_settings(self, *, share: float = 1.0) -> None:
-        """Write the settings file, or only its beginning, as a writer in haste does."""
+    def write_settings(self, *, fraction: float = 1.0) -> None:
+        """Write the settings file, or only its first part as in an incomplete write."""
         text = json.dumps(self.settings)
-        self._settings_path.write_text(text[: int(len(text) * share)])
+        self._settings_path.write_text(text[: int(len(text) * fraction)])
 
     async def start(self) -> None:
         """Start the process."""
@@ -78,9 +78,9 @@
             SETTINGS_FILE_VARIABLE: str(self._settings_path),
             SKEW_VARIABLE: str(self.skew_s),
         }
-        self._may_end = False
+        self._is_exit_expected = False
         self._is_killed = False
-        self._log_began = self._log_path.stat().st_size
+        self._log_offset = self._log_path.stat().st_size
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -91,42 +91,50 @@
         )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it is there."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
-    def check_alive(self) -> None:
-        """Note an end that nobody ordered."""
-        if self._process is None or self.is_running or self._may_end:
+    def record_unexpected_exit(self) -> None:
+        """Record the exit of the process if nobody requested it."""
+        if self._process is None or self.is_running or self._is_exit_expected:
             return
-        self.own_ends.append(f"{self.name} ended by itself: {self._process.returncode}")
-        self._may_end = True
+        self.failures.append(
+            f"{self.name} exited unexpectedly with {self._process.returncode}"
+        )
+        self._is_exit_expected = True
 
     async def kill(self) -> None:
         """Kill the process."""
-        self.check_alive()
-        self._may_end = True
+        self.record_unexpected_exit()
+        self._is_exit_expected = True
         self._is_killed = True
         self.send(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
 
-    async def stop(self, *, limit_s: float) -> None:
-        """Tell the process to stop, and wait until it has; it must end with 0."""
-        self.check_alive()
-        self._may_end = True
+    async def stop(self, *, timeout_s: float) -> None:
+        """Request a shutdown and wait for it; the process must exit with 0.
+
+        Other exits are recorded in ``failures``. A process that does not exit within
+        ``timeout_s`` is killed.
+        """
+        self.record_unexpected_exit()
+        self._is_exit_expected = True
         self.send(signal.SIGTERM)
         if self._process is None:
             return
         try:
-            code = await asyncio.wait_for(self._process.wait(), limit_s)
+            code = await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
-            self.own_ends.append(f"{self.name} did not end within {limit_s} s")
+            self.failures.append(f"{self.name} did not exit within {timeout_s} s")
             await self.kill()
             return
-        if code == -signal.SIGTERM and not self._has_served():
-            return  # told to stop while it was still loading its modules
+        if code == -signal.SIGTERM and not self._has_started():
+            return  # stopped while it was still loading its modules
         if code == -signal.SIGKILL and self._is_killed:
-            return  # another fault killed it while it stopped
+            return  # killed by another fault during the shutdown
         if code:
-            self.own_ends.append(f"{self.name} was told to stop and ended with {code}")
+            self.failures.append(
+                f"{self.name} exited with {code} after a shutdown request"
+            )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/operator_state.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/operator_state.py
@@ -1,4 +1,4 @@
-"""The operator of the soak: versions of the desired state, and runners' entries."""
+"""Desired states and runner entries that the operator of a soak writes."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 HOSTNAME = "shop.example"
 TEAM = "team-one"
 POOL = "pool"
-COLD_S = 2.0
+COLD_START_S = 2.0
 COLD_CALLS_PER_S = 10.0
-OVERLAP_S = 1.0
-"""How long an old key and its successor are both good, so that callers can change."""
+KEY_OVERLAP_S = 1.0
+"""How long callers use the old key, and then the new one, while both are valid."""
 
 
 class RouteKind(Enum):
-    """The routes of the soak, one for each kind."""
+    """Kinds of routes in a soak, with one route each."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -37,80 +37,81 @@
 
 
 class WithdrawnKey(NamedTuple):
-    """A key that the operator has taken away."""
+    """A key that the operator has withdrawn."""
 
     key: str
     confirmed_s: float
-    """When the store confirmed the version without it; monotonic."""
+    """Monotonic time at which the store confirmed the version without the key."""
 
 
-class EmptiedZone(NamedTuple):
-    """A zone that was to get nothing new."""
+class ZoneEvacuation(NamedTuple):
+    """Evacuation of a zone, whose runners must get no new calls."""
 
     zone: str
-    from_s: float
-    """When the store confirmed the order; monotonic."""
-    until_s: float
-    """When the operator began to take it back."""
+    start_s: float
+    """Monotonic time at which the store confirmed the evacuation."""
+    end_s: float
+    """Monotonic time at which the operator began to end the evacuation."""
 
 
 class OperatorState:
-    """Write desired states and entries into the store, and remember what is owed."""
+    """Write desired states and entries to the store and record when they change."""
 
     def __init__(self, *, store: EdgeStore) -> None:
         self._store = store
-        self._number = 0
+        self._key_number = 0
         self._version = 0
-        self.key = "key-0"
-        """The key that callers are to use."""
-        self.issued: dict[str, float] = {}
-        """When the store confirmed the first version with a key; monotonic."""
-        self.withdrawn: list[WithdrawnKey] = []
-        self.left: dict[str, float] = {}
-        """When the store confirmed that a runner leaves or is gone; monotonic."""
-        self.emptied: list[EmptiedZone] = []
+        self.current_key = "key-0"
+        """The key that callers must use at present."""
+        self.key_issued_s: dict[str, float] = {}
+        """Monotonic time at which the store confirmed the first version with a key."""
+        self.withdrawn_keys: list[WithdrawnKey] = []
+        self.runner_left_s: dict[str, float] = {}
+        """Monotonic time at which the store confirmed that a runner leaves."""
+        self.evacuations: list[ZoneEvacuation] = []
         self._born_ms: dict[str, int] = {}
 
-    async def begin(self) -> None:
+    async def write_initial(self) -> None:
         """Write the first desired state."""
-        await self._put([self.key])
+        await self._write_state([self.current_key])
 
     async def change_key(self) -> None:
-        """Give out a new key, and take the old one away a little later."""
-        old = self.key
-        self._number += 1
-        new = f"key-{self._number}"
-        await self._put([old, new])
-        await asyncio.sleep(OVERLAP_S)
-        self.key = new
-        await asyncio.sleep(OVERLAP_S)
-        await self._put([new])
-        self.withdrawn.append(WithdrawnKey(old, time.monotonic()))
-
-    async def storm(self, count: int, *, gap_s: float) -> None:
-        """Write versions in quick succession; each differs from the one before."""
+        """Issue a new key and withdraw the old one after an overlap."""
+        old = self.current_key
+        self._key_number += 1
+        new = f"key-{self._key_number}"
+        await self._write_state([old, new])
+        await asyncio.sleep(KEY_OVERLAP_S)
+        self.current_key = new
+        await asyncio.sleep(KEY_OVERLAP_S)
+        await self._write_state([new])
+        self.withdrawn_keys.append(WithdrawnKey(old, time.monotonic()))
+
+    async def write_versions(self, count: int, *, interval_s: float) -> None:
+        """Write a number of state versions in quick succession."""
         for _ in range(count):
-            await self._put([self.key])
-            await asyncio.sleep(gap_s)
+            await self._write_state([self.current_key])
+            await asyncio.sleep(interval_s)
 
-    async def enter(
+    async def write_entry(
         self,
         runner: EdgeRunner,
-        at: Endpoint,
+        endpoint: Endpoint,
         *,
         state: str = "ready",
         born_ms: int | None = None,
         cold_ms: int = 0,
     ) -> None:
-        """Write a runner's entry; one that has started again says when it was born.
+        """Write a runner's entry, with its start time once it has been restarted.
 
-        It goes on saying so: an entry without it would be the lifetime's before.
+        Later entries repeat the start time: an entry without one would belong to the
+        previous lifetime.
         """
         if born_ms is not None:
             self._born_ms[runner.runner_id] = born_ms
         spec = runner_spec(
             pool=POOL,
-            address=str(at),
+            address=str(endpoint),
             zone=runner.zone,
             state=state,
             born_ms=self._born_ms.get(runner.runner_id),
@@ -118,22 +119,22 @@
         )
         await self._store.put(names.RUNNERS_KIND, runner.runner_id, spec)
         if state != "ready":
-            self.left.setdefault(runner.runner_id, time.monotonic())
+            self.runner_left_s.setdefault(runner.runner_id, time.monotonic())
 
-    async def remove(self, runner: EdgeRunner) -> None:
-        """Remove a runner's entry: it has left."""
+    async def remove_entry(self, runner: EdgeRunner) -> None:
+        """Remove the entry of a runner that has left."""
         await self._store.remove(names.RUNNERS_KIND, runner.runner_id)
-        self.left.setdefault(runner.runner_id, time.monotonic())
+        self.runner_left_s.setdefault(runner.runner_id, time.monotonic())
 
-    async def empty_zone(self, zone: str, *, for_s: float) -> None:
-        """Order that a zone's runners get nothing new, and take that back."""
+    async def evacuate_zone(self, zone: str, *, duration_s: float) -> None:
+        """Evacuate a zone for a time in seconds."""
         await self._store.put(names.EVACUATIONS_KIND, zone, {})
-        from_s = time.monotonic()
-        await asyncio.sleep(for_s)
-        self.emptied.append(EmptiedZone(zone, from_s, time.monotonic()))
+        start_s = time.monotonic()
+        await asyncio.sleep(duration_s)
+        self.evacuations.append(ZoneEvacuation(zone, start_s, time.monotonic()))
         await self._store.remove(names.EVACUATIONS_KIND, zone)
 
-    async def _put(self, keys: list[str]) -> None:
+    async def _write_state(self, keys: list[str]) -> None:
         self._version += 1
         routes = [_route(kind) for kind in RouteKind]
         spec = state_spec(
@@ -141,12 +142,12 @@
             routes=routes,
             team=TEAM,
             keys=keys,
-            cold_s=COLD_S,
+            cold_s=COLD_START_S,
             cold_calls_per_s=COLD_CALLS_PER_S,
         )
         await self._store.put(names.STATE_KIND, names.STATE_NAME, spec)
         for key in keys:
-            self.issued.setdefault(key, time.monotonic())
+            self.key_issued_s.setdefault(key, time.monotonic())
 
 
 def _route(kind: RouteKind) -> dict[str, Any]:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/schedule.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults a seed brings, when and how long; the same for a seed each time."""
+"""Deterministic fault schedule of a seed: kinds, start times and durations."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from random import Random
 from typing import NamedTuple
 
-CALM_BEFORE_S = 2.0
-"""Calls before the first fault, so that connections are kept and caches are warm."""
-LEAST_GAP_S = 0.1
-LARGEST_GAP_S = 1.6
-"""Between the beginnings of two faults: most of them overlap."""
-SHORTEST_S = 0.4
-LONGEST_S = 3.0
-CRASHING_REQUESTS = 2
-"""Times in a seed at which such a request comes, again and again for a while."""
+WARM_UP_S = 2.0
+"""Time before the first fault, to open connections and fill caches."""
+MIN_GAP_S = 0.1
+MAX_GAP_S = 1.6
+"""Longest gap between the starts of two faults, short enough that most overlap."""
+MIN_DURATION_S = 0.4
+MAX_DURATION_S = 3.0
+CRASHING_REQUEST_FAULTS = 2
+"""Number of faults in a seed that send a crashing request repeatedly for a while."""
 
 
 class FaultKind(Enum):
-    """What a soak does to the fleet."""
+    """Kinds of faults that a soak injects into the fleet."""
 
     NODE_STOP = "node_stop"
     NODE_KILL = "node_kill"
     NODE_PAUSE = "node_pause"
     NODE_CLOCK = "node_clock"
-    """Killed, and started again with a time of day that is off."""
+    """A node is killed and restarted with a skewed wall clock."""
     ALL_KILL = "all_kill"
     HUP = "hup"
     SETTINGS_TORN = "settings_torn"
-    """The settings file is half written when the node is told to read it."""
+    """The settings file is truncated when the node is told to reload it."""
     STORE_LINK = "store_link"
     """The path from one node to the store fails."""
     STORE_AWAY = "store_away"
@@ -36,23 +36,23 @@
     RUNNER_LINK = "runner_link"
     """The path from all nodes to one runner fails."""
     RUNNER_ANSWERS = "runner_answers"
-    """A runner spoils some of its answers."""
+    """A runner sends some faulty responses."""
     RUNNER_LEAVES = "runner_leaves"
     KEY_CHANGE = "key_change"
     STATE_STORM = "state_storm"
     CRASHING_REQUEST = "crashing_request"
-    """A request comes that ends each runner which begins to run it."""
+    """A request is sent that crashes each runner which starts to execute it."""
     ZONE_EMPTIED = "zone_emptied"
-    """The operator wants nothing new for a zone's runners, and takes that back."""
+    """The operator evacuates an availability zone and later ends the evacuation."""
     RUNNER_COLD = "runner_cold"
-    """A runner bears only some calls a second for a while, and says so."""
+    """A runner reports that it is cold and limits its call rate for a while."""
     RUNNER_SHEDS = "runner_sheds"
-    """A runner refuses all calls for a while, each with a time to back off."""
+    """A runner refuses all calls with ``Retry-After`` for a while."""
     RUNNER_DRAINS_UNLISTED = "runner_drains_unlisted"
-    """A runner drains and signals it in its answers; its entry follows later."""
+    """A runner signals draining in its responses before its entry is updated."""
 
 
-HARMLESS = frozenset(
+NON_DISRUPTIVE = frozenset(
     (
         FaultKind.HUP,
         FaultKind.RUNNER_LEAVES,
@@ -64,10 +64,10 @@
         FaultKind.RUNNER_DRAINS_UNLISTED,
     )
 )
-"""What no promise may suffer under at all."""
-PLANNED = HARMLESS | {FaultKind.NODE_STOP}
-"""Work of operators: it cuts no call."""
-RESTARTS = frozenset(
+"""Faults during which every guarantee must hold."""
+PLANNED_WORK = NON_DISRUPTIVE | {FaultKind.NODE_STOP}
+"""Planned work of operators, which must not interrupt calls."""
+INTERRUPTIONS = frozenset(
     (
         FaultKind.NODE_STOP,
         FaultKind.NODE_KILL,
@@ -76,9 +76,9 @@
         FaultKind.ALL_KILL,
     )
 )
-"""After these a node may have forgotten the signals of runners."""
+"""Faults after which a node may have lost the signals of runners."""
 RUNNER_SIGNALS = (FaultKind.RUNNER_SHEDS, FaultKind.RUNNER_DRAINS_UNLISTED)
-DRAWN_APART = frozenset(
+SEPARATELY_DRAWN = frozenset(
     (
         FaultKind.CRASHING_REQUEST,
         FaultKind.ZONE_EMPTIED,
@@ -86,39 +86,39 @@
         *RUNNER_SIGNALS,
     )
 )
-"""What is planned by itself, so that seeds from before play what they played."""
+"""Faults with random generators of their own, so that older seeds keep their faults."""
 
 
 class PlannedFault(NamedTuple):
-    """One fault of a seed."""
+    """One fault in the schedule of a seed."""
 
-    at_s: float
+    start_s: float
     kind: FaultKind
-    pick: int
-    """Chooses the target and the variant, by its remainder."""
-    for_s: float
+    selector: int
+    """Selects the target and the variant by its remainder."""
+    duration_s: float
 
 
 def plan_crashes(seed: int, *, length_s: float) -> list[PlannedFault]:
-    """Return when requests come that end their runners, drawn by themselves.
+    """Return the crashing requests of a seed, drawn from a generator of their own.
 
-    The faults of a seed are the same with and without them: a seed that has failed
-    once must go on playing what it played.
+    The other faults of a seed are the same with and without them: a seed that has
+    failed once must keep its schedule to reproduce the failure.
     """
     rng = Random(f"crashes of {seed}")
     return [
         PlannedFault(
-            rng.uniform(CALM_BEFORE_S, length_s),
+            rng.uniform(WARM_UP_S, length_s),
             FaultKind.CRASHING_REQUEST,
             rng.getrandbits(16),
-            rng.uniform(SHORTEST_S, LONGEST_S),
+            rng.uniform(MIN_DURATION_S, MAX_DURATION_S),
         )
-        for _ in range(CRASHING_REQUESTS)
+        for _ in range(CRASHING_REQUEST_FAULTS)
     ]
 
 
 def plan_zone_work(seed: int, *, length_s: float) -> list[PlannedFault]:
-    """Return when a zone is emptied and runners are cold; in every second seed."""
+    """Return the zone evacuation and cold runner of a seed, for even seeds only."""
     if seed % 2:
         return []
     kinds = (FaultKind.ZONE_EMPTIED, FaultKind.RUNNER_COLD)
@@ -126,7 +126,7 @@
 
 
 def plan_runner_signals(seed: int, *, length_s: float) -> list[PlannedFault]:
-    """Return when runners shed calls, and drain before their entries say so."""
+    """Return the load shedding and the unlisted draining of a seed."""
     return _draw_once(RUNNER_SIGNALS, Random(f"signals of {seed}"), length_s)
 
 
@@ -135,24 +135,24 @@
 ) -> list[PlannedFault]:
     return [
         PlannedFault(
-            rng.uniform(CALM_BEFORE_S, length_s),
+            rng.uniform(WARM_UP_S, length_s),
             kind,
             rng.getrandbits(16),
-            rng.uniform(SHORTEST_S, LONGEST_S),
+            rng.uniform(MIN_DURATION_S, MAX_DURATION_S),
         )
         for kind in kinds
     ]
 
 
 def plan_faults(seed: int, *, length_s: float) -> list[PlannedFault]:
-    """Return a seed's faults in order of their beginning."""
+    """Return the other faults of a seed in order of their start."""
     rng = Random(seed)
-    kinds = [kind for kind in FaultKind if kind not in DRAWN_APART]
+    kinds = [kind for kind in FaultKind if kind not in SEPARATELY_DRAWN]
     planned = []
-    at_s = CALM_BEFORE_S
-    while at_s < length_s:
+    start_s = WARM_UP_S
+    while start_s < length_s:
         kind = rng.choice(kinds)
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
-        planned.append(PlannedFault(at_s, kind, rng.getrandbits(16), for_s))
-        at_s += rng.uniform(LEAST_GAP_S, LARGEST_GAP_S)
+        duration_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        planned.append(PlannedFault(start_s, kind, rng.getrandbits(16), duration_s))
+        start_s += rng.uniform(MIN_GAP_S, MAX_GAP_S)
     return planned
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_fleet.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The store, runners, links and node processes of one soak."""
+"""Store, runners, proxied links and node processes of one soak."""
 
 from __future__ import annotations
 
@@ -22,23 +22,24 @@
 
 LOCAL = "127.0.0.1"
 NODE_PORTS = ("front", "ready", "directory", "control", "peer_port")
-GRACE_S = 8
+STOP_DEADLINE_S = 8
 ZONES = 2
 MS_PER_S = 1000.0
-BACK_S = 1.0
-"""Until a runner that has crashed takes connections again."""
+RUNNER_RESTART_DELAY_S = 1.0
+"""Time until a crashed runner accepts connections again."""
 CRASHING_BODY = b"ends whoever runs it"
 
 
 def zone_name(number: int) -> str:
-    """Return the zone of the node or runner with a number."""
+    """Return the availability zone of the node or runner with a given number."""
     return f"zone-{number % ZONES}"
 
 
 class SoakFleet:
-    """Own everything of a soak; ends all of it when closed.
+    """Start all parts of a soak and stop them on exit.
 
-    Each node has its own link to the store, and each runner one for all nodes.
+    Each node has a link of its own to the store; each runner has one link that all
+    nodes share.
     """
 
     def __init__(self, *, nodes: int, runners: int, folder: Path) -> None:
@@ -47,8 +48,8 @@
         self._tasks = BackgroundTasks()
         ports = free_ports(len(NODE_PORTS) + 1 + nodes + 2 * runners)
         self._node_ports = dict(zip(NODE_PORTS, ports, strict=False))
-        self._store_at = Endpoint(LOCAL, ports[len(NODE_PORTS)])
-        spare = ports[len(NODE_PORTS) + 1 :]
+        self._store_endpoint = Endpoint(LOCAL, ports[len(NODE_PORTS)])
+        link_ports = ports[len(NODE_PORTS) + 1 :]
         self.store = EdgeStore()
         self.state = OperatorState(store=self.store)
         self.runners = [
@@ -56,9 +57,11 @@
             for n in range(runners)
         ]
         self.runner_links: list[FaultProxy] = []
-        self._runner_ports = spare[nodes : nodes + runners]
+        self._runner_ports = link_ports[nodes : nodes + runners]
         self.store_links = [
-            FaultProxy(listen=Endpoint(LOCAL, spare[n]), target=self._store_at)
+            FaultProxy(
+                listen=Endpoint(LOCAL, link_ports[n]), target=self._store_endpoint
+            )
             for n in range(nodes)
         ]
         self.nodes = [
@@ -72,18 +75,18 @@
         server = web.AppRunner(self.store.application(), shutdown_timeout=0.1)
         await server.setup()
         self._stack.push_async_callback(server.cleanup)
-        await web.TCPSite(server, *self._store_at).start()
-        await self.state.begin()
+        await web.TCPSite(server, *self._store_endpoint).start()
+        await self.state.write_initial()
         await self._stack.enter_async_context(self._tasks)
         for runner, port in zip(self.runners, self._runner_ports, strict=True):
             runner.crashing_bodies.add(CRASHING_BODY)
-            runner.on_crash = self._end_link_of
+            runner.on_crash = self._handle_crash
             await self._stack.enter_async_context(runner)
             link = FaultProxy(
                 listen=Endpoint(LOCAL, port), target=Endpoint(LOCAL, runner.port)
             )
             self.runner_links.append(await self._stack.enter_async_context(link))
-            await self.state.enter(runner, link.listen)
+            await self.state.write_entry(runner, link.listen)
         for store_link in self.store_links:
             await self._stack.enter_async_context(store_link)
         for node in self.nodes:
@@ -91,47 +94,47 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End everything."""
+        """Stop everything."""
         await self._stack.aclose()
 
     @property
-    def fronts(self) -> list[Endpoint]:
-        """Where callers connect, node by node."""
+    def caller_endpoints(self) -> list[Endpoint]:
+        """Endpoints for callers, in the order of the nodes."""
         port = self._node_ports["front"]
         return [Endpoint(node_address(n), port) for n in range(len(self.nodes))]
 
-    def _end_link_of(self, runner: EdgeRunner) -> None:
-        """Let a crashed runner's link go down with it, and both come back."""
+    def _handle_crash(self, runner: EdgeRunner) -> None:
+        """Stop the link of a crashed runner and schedule the restart of both."""
         link = self.runner_links[self.runners.index(runner)]
-        link.go_down()
-        self._tasks.spawn(self._start_again(runner, link), name="start_runner")
+        link.stop()
+        self._tasks.spawn(self._restart_runner(runner, link), name="start_runner")
 
-    async def _start_again(self, runner: EdgeRunner, link: FaultProxy) -> None:
-        await asyncio.sleep(BACK_S)
+    async def _restart_runner(self, runner: EdgeRunner, link: FaultProxy) -> None:
+        await asyncio.sleep(RUNNER_RESTART_DELAY_S)
         runner.cold_until_s = 0.0
         await runner.start()
-        await link.come_up()
-        if runner.runner_id not in self.state.left:
+        await link.start()
+        if runner.runner_id not in self.state.runner_left_s:
             runner.is_draining = False
             born_ms = round(time.time() * MS_PER_S)
-            await self.state.enter(runner, link.listen, born_ms=born_ms)
+            await self.state.write_entry(runner, link.listen, born_ms=born_ms)
 
     def _settings(self, number: int) -> dict[str, Any]:
         address = node_address(number)
-        at = {
+        listeners = {
             name: f"{address}:{self._node_ports[name]}"
             for name in ("front", "ready", "directory", "control")
         }
-        seed = f"{node_address(0)}:{self._node_ports['control']}"
+        seed_address = f"{node_address(0)}:{self._node_ports['control']}"
         return {
             "node_id": f"node-{number}",
             "address": address,
-            **at,
+            **listeners,
             "peer_port": self._node_ports["peer_port"],
             "availability_zone": zone_name(number),
             "region": "region",
             "store": str(self.store_links[number].listen),
-            "seeds": [seed],
+            "seeds": [seed_address],
             "peer_keys": ["soak"],
             "heartbeat_ms": 1_200,
             "apply_within_ms": 2_000,
@@ -141,6 +144,6 @@
             "retry_allowance": 50,
             "retry_window_s": 10,
             "cap_factor": 2,
-            "stop_deadline_s": GRACE_S,
+            "stop_deadline_s": STOP_DEADLINE_S,
             "longest_keep_s": 5,
         }
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Play one seed: calls, faults and checks while they run, then a last look at all."""
+"""Run one seed: calls and faults at the same time, then the checks and the audit."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from clementineyoke_node.timers.background_tasks import BackgroundTasks
 from clementineyoke_standins.edge.edge_runner import Act
 from clementineyoke_standins.soak.audit import (
-    APPLY_S,
-    BLAMED,
+    APPLY_DEADLINE_S,
+    CRASH_CHECK_STEP,
     Evidence,
-    Restart,
-    RunnerSight,
+    NodeInterruption,
+    RunnerObservation,
     Span,
     audit,
 )
 from clementineyoke_standins.soak.caller import Caller
-from clementineyoke_standins.soak.fault_acts import FaultActs, send_crashing
+from clementineyoke_standins.soak.fault_acts import FaultInjector, send_crashing_request
 from clementineyoke_standins.soak.operator_state import RouteKind
 from clementineyoke_standins.soak.schedule import (
-    HARMLESS,
-    PLANNED,
-    RESTARTS,
+    INTERRUPTIONS,
+    NON_DISRUPTIVE,
+    PLANNED_WORK,
     RUNNER_SIGNALS,
     FaultKind,
     PlannedFault,
@@ -35,7 +35,7 @@
     plan_runner_signals,
     plan_zone_work,
 )
-from clementineyoke_standins.soak.soak_fleet import GRACE_S, SoakFleet
+from clementineyoke_standins.soak.soak_fleet import STOP_DEADLINE_S, SoakFleet
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -43,27 +43,27 @@
 NODES = 4
 RUNNERS = 4
 CALLERS = 6
-START_LIMIT_S = 30.0
-RECOVER_LIMIT_S = 30.0
-"""Long for a busy machine; how long it took is in the report."""
-POLL_S = 0.1
-CALM_AFTER_S = 3.0
-"""A node is in touch again so long after a fault."""
-SEEN_S = 1.5
-"""How long calls go on after the last change must be in force."""
+START_TIMEOUT_S = 30.0
+RECOVERY_TIMEOUT_S = 30.0
+"""Generous, for a loaded machine; the report shows the time that was needed."""
+POLL_INTERVAL_S = 0.1
+RECOVERY_S = 3.0
+"""Time after a fault within which a node is connected again."""
+OBSERVATION_S = 1.5
+"""How long calls go on after the deadline for applying the last change."""
 STATUS_OK = 200
 STATUS_UNKNOWN_KEY = 401
 STATUS_REFUSED = 503
-CRASHING_COPIES = 3
-"""Times at which the request that ends its runners comes to each node at the end."""
-CRASHING_PAUSE_S = 0.5
-"""Between two of them: half of the time in which a runner is back, so that there is one
-to end for most of them."""
-MOST_CALM_CRASHES = 6
+CRASHING_REQUESTS_PER_NODE = 3
+"""Number of times that the crashing request is sent to each node at the end."""
+CRASHING_REQUEST_INTERVAL_S = 0.5
+"""Half of a runner's restart delay, so that most of these requests find a runner that
+they can crash."""
+MAX_UNDISTURBED_CRASHES = 6
 
 
 class SoakReport(NamedTuple):
-    """What one seed showed."""
+    """Result of one seed."""
 
     seed: int
     calls: int
@@ -74,7 +74,7 @@
 
 
 class SoakRun:
-    """Own one seed's fleet, callers and faults."""
+    """Run one seed; owns its fleet, callers and faults."""
 
     def __init__(
         self,
@@ -94,12 +94,14 @@
         self._length_s = length_s
         self._is_timed = is_timed
         self._fleet = SoakFleet(nodes=NODES, runners=RUNNERS, folder=folder)
-        self._stop_limit_s = GRACE_S if is_timed else START_LIMIT_S
-        self._acts = FaultActs(fleet=self._fleet, stop_limit_s=self._stop_limit_s)
+        self._stop_timeout_s = STOP_DEADLINE_S if is_timed else START_TIMEOUT_S
+        self._injector = FaultInjector(
+            fleet=self._fleet, stop_timeout_s=self._stop_timeout_s
+        )
         self._callers = [
             Caller(
                 name=f"s{seed}c{number}",
-                endpoints=self._fleet.fronts,
+                endpoints=self._fleet.caller_endpoints,
                 state=self._fleet.state,
                 rng=Random(seed * CALLERS + number),
             )
@@ -107,18 +109,18 @@
         ]
         self._probe = Caller(
             name=f"s{seed}probe",
-            endpoints=self._fleet.fronts,
+            endpoints=self._fleet.caller_endpoints,
             state=self._fleet.state,
             rng=Random(seed),
         )
-        self._played: list[tuple[FaultKind, Span]] = []
-        self._restarts: list[Restart] = []
-        self._broken: list[str] = []
+        self._injected: list[tuple[FaultKind, Span]] = []
+        self._interruptions: list[NodeInterruption] = []
+        self._violations: list[str] = []
 
     async def run(self) -> SoakReport:
-        """Play the seed and return what it showed."""
+        """Run the seed and return its result."""
         async with self._fleet, aiohttp.ClientSession() as session:
-            await self._wait_all_serve(session, START_LIMIT_S)
+            await self._wait_until_serving(session, START_TIMEOUT_S)
             for runner in self._fleet.runners:
                 runner.answers_by_path = {"/streaming/": Act.STREAM}
             began_s = time.monotonic()
@@ -132,96 +134,107 @@
                     planned += plan_zone_work(self._seed, length_s=self._length_s)
                 if self._has_runner_signals:
                     planned += plan_runner_signals(self._seed, length_s=self._length_s)
-                await asyncio.gather(*(self._play(fault, began_s) for fault in planned))
-                recovered_s = await self._wait_all_serve(session, RECOVER_LIMIT_S)
-                await self._change_in_calm()
-                await self._check_newest(session)
+                await asyncio.gather(
+                    *(self._inject(fault, began_s) for fault in planned)
+                )
+                recovered_s = await self._wait_until_serving(
+                    session, RECOVERY_TIMEOUT_S
+                )
+                await self._apply_changes_undisturbed()
+                await self._check_withdrawn_keys(session)
                 if self._has_crashes:
-                    await self._check_crashing(session)
+                    await self._check_crashing_request(session)
             for node in self._fleet.nodes:
-                await node.stop(limit_s=self._stop_limit_s)
-                self._broken += node.own_ends
+                await node.stop(timeout_s=self._stop_timeout_s)
+                self._violations += node.failures
         return self._report(planned, began_s, recovered_s)
 
-    async def _play(self, fault: PlannedFault, began_s: float) -> None:
-        await asyncio.sleep(max(0.0, began_s + fault.at_s - time.monotonic()))
-        from_s = time.monotonic()
+    async def _inject(self, fault: PlannedFault, began_s: float) -> None:
+        await asyncio.sleep(max(0.0, began_s + fault.start_s - time.monotonic()))
+        start_s = time.monotonic()
         for node in self._fleet.nodes:
-            node.check_alive()
-        await self._acts.play(fault)
-        span = Span(from_s, time.monotonic() + CALM_AFTER_S)
-        self._played.append((fault.kind, span))
-        if fault.kind in RESTARTS:
-            self._restarts.append(Restart(self._acts.node_of(fault), span))
+            node.record_unexpected_exit()
+        await self._injector.inject(fault)
+        span = Span(start_s, time.monotonic() + RECOVERY_S)
+        self._injected.append((fault.kind, span))
+        if fault.kind in INTERRUPTIONS:
+            self._interruptions.append(
+                NodeInterruption(self._injector.interrupted_node(fault), span)
+            )
 
-    async def _wait_all_serve(
-        self, session: aiohttp.ClientSession, limit_s: float
+    async def _wait_until_serving(
+        self, session: aiohttp.ClientSession, timeout_s: float
     ) -> float:
-        """Wait until each node serves a call; return how long it took."""
+        """Wait until each node serves a call and return the time that this took."""
         began_s = time.monotonic()
         for node in range(len(self._fleet.nodes)):
-            while not await self._serves(session, node):
-                if time.monotonic() > began_s + limit_s:
-                    self._broken.append(f"node-{node} does not serve after {limit_s} s")
+            while not await self._is_serving(session, node):
+                if time.monotonic() > began_s + timeout_s:
+                    self._violations.append(
+                        f"node-{node} serves no calls after {timeout_s} s"
+                    )
                     break
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         return time.monotonic() - began_s
 
-    async def _serves(self, session: aiohttp.ClientSession, node: int) -> bool:
-        key = self._fleet.state.key
+    async def _is_serving(self, session: aiohttp.ClientSession, node: int) -> bool:
+        key = self._fleet.state.current_key
         record = await self._probe.call(
             session, node=node, kind=RouteKind.IDEMPOTENT, key=key
         )
         return record.status == STATUS_OK
 
-    async def _change_in_calm(self) -> None:
-        """Change key, runners and zones once more, with nothing else going on.
+    async def _apply_changes_undisturbed(self) -> None:
+        """Change key, runners and zones once more while no other fault is active.
 
-        Faults overlap from the first to the last, so that no promise with a time binds
-        among them. A node that has been left deaf by them shows it here.
+        Faults overlap from the first to the last, so that no guarantee with a deadline
+        can be checked among them. A node that no longer receives updates is
+        detected here.
         """
-        await asyncio.sleep(CALM_AFTER_S)
+        await asyncio.sleep(RECOVERY_S)
         kinds = [FaultKind.KEY_CHANGE, FaultKind.RUNNER_LEAVES]
         if self._has_zone_work and self._seed % 2 == 0:
             kinds += [FaultKind.ZONE_EMPTIED, FaultKind.RUNNER_COLD]
         if self._has_runner_signals:
             kinds += RUNNER_SIGNALS
         for kind in kinds:
-            await self._acts.play(PlannedFault(0.0, kind, self._seed, SEEN_S))
-        await asyncio.sleep(APPLY_S + SEEN_S)
+            await self._injector.inject(
+                PlannedFault(0.0, kind, self._seed, OBSERVATION_S)
+            )
+        await asyncio.sleep(APPLY_DEADLINE_S + OBSERVATION_S)
 
-    async def _check_newest(self, session: aiohttp.ClientSession) -> None:
-        """See that no node went back to a state with a withdrawn key."""
-        for entry in self._fleet.state.withdrawn:
+    async def _check_withdrawn_keys(self, session: aiohttp.ClientSession) -> None:
+        """Check that no node has reverted to a state with a withdrawn key."""
+        for entry in self._fleet.state.withdrawn_keys:
             for node in range(len(self._fleet.nodes)):
                 record = await self._probe.call(
                     session, node=node, kind=RouteKind.IDEMPOTENT, key=entry.key
                 )
                 if record.status != STATUS_UNKNOWN_KEY:
-                    self._broken.append(
-                        f"node-{node} answers {record.status} to the withdrawn key"
-                        f" {entry.key}"
+                    self._violations.append(
+                        f"node-{node} answers the withdrawn key {entry.key} with"
+                        f" {record.status}"
                     )
 
-    async def _check_crashing(self, session: aiohttp.ClientSession) -> None:
-        """Let the request that ends its runners come once more, with nothing else on.
+    async def _check_crashing_request(self, session: aiohttp.ClientSession) -> None:
+        """Send a request that crashes its runners while no other fault is active.
 
-        Its promise binds in calm: three runners may end until it is known, and three
-        more sends are allowed to those that learn late.
+        The limit on crashes holds only then: three runners may crash until the request
+        is known, and three more may crash through nodes that learn of it late.
         """
         before = self._count_crashes()
-        caller = self._acts.new_crashing()
-        for number in range(CRASHING_COPIES * len(self._fleet.nodes)):
+        caller = self._injector.new_crashing_caller()
+        for number in range(CRASHING_REQUESTS_PER_NODE * len(self._fleet.nodes)):
             node = number % len(self._fleet.nodes)
             kind = RouteKind.NON_IDEMPOTENT
-            record = await send_crashing(caller, session, node=node, kind=kind)
-            await asyncio.sleep(CRASHING_PAUSE_S)
-        ended = self._count_crashes() - before
-        is_refused = record.status == STATUS_REFUSED and BLAMED in record.body
-        if ended > MOST_CALM_CRASHES or not is_refused:
-            self._broken.append(
-                f"a request ended {ended} runners in calm; then {record.status}"
-                f" {record.body}"
+            record = await send_crashing_request(caller, session, node=node, kind=kind)
+            await asyncio.sleep(CRASHING_REQUEST_INTERVAL_S)
+        crashes = self._count_crashes() - before
+        is_refused = record.status == STATUS_REFUSED and CRASH_CHECK_STEP in record.body
+        if crashes > MAX_UNDISTURBED_CRASHES or not is_refused:
+            self._violations.append(
+                f"a request crashed {crashes} runners without other faults; the last"
+                f" response was {record.status} {record.body}"
             )
 
     def _count_crashes(self) -> int:
@@ -232,16 +245,20 @@
     ) -> SoakReport:
         calls = [record for caller in self._callers for record in caller.records]
         calls += self._probe.records
-        calls += [call for caller in self._acts.crashing for call in caller.records]
-        sights = [
-            RunnerSight(
+        calls += [
+            call
+            for caller in self._injector.crashing_callers
+            for call in caller.records
+        ]
+        observations = [
+            RunnerObservation(
                 runner.runner_id,
                 call.call_id,
                 call.at_s,
-                call.has_run,
+                call.was_executed,
                 runner.zone,
                 call.lifetime,
-                call.says_draining,
+                call.signals_draining,
                 call.retry_after_s,
             )
             for runner in self._fleet.runners
@@ -249,37 +266,43 @@
         ]
         evidence = Evidence(
             calls=calls,
-            sights=sights,
-            issued=self._fleet.state.issued,
-            withdrawn=self._fleet.state.withdrawn,
-            left=self._fleet.state.left,
-            emptied=self._fleet.state.emptied,
-            overruns={r.runner_id: r.overruns for r in self._fleet.runners},
-            ends={r.runner_id: r.ends_s for r in self._fleet.runners},
-            calm=self._spans_without(HARMLESS, began_s),
-            planned_only=self._spans_without(PLANNED, began_s),
-            restarts=self._restarts,
-            cuts=[span for kind, span in self._played if kind is FaultKind.RUNNER_LINK],
+            observations=observations,
+            key_issued_s=self._fleet.state.key_issued_s,
+            withdrawn_keys=self._fleet.state.withdrawn_keys,
+            runner_left_s=self._fleet.state.runner_left_s,
+            evacuations=self._fleet.state.evacuations,
+            overload_crashes={
+                r.runner_id: r.overload_crashes for r in self._fleet.runners
+            },
+            crash_times_s={r.runner_id: r.ends_s for r in self._fleet.runners},
+            undisturbed=self._spans_without(NON_DISRUPTIVE, began_s),
+            planned_work_only=self._spans_without(PLANNED_WORK, began_s),
+            interruptions=self._interruptions,
+            runner_link_faults=[
+                span for kind, span in self._injected if kind is FaultKind.RUNNER_LINK
+            ],
         )
-        self._broken += audit(evidence, is_timed=self._is_timed)
+        self._violations += audit(evidence, is_timed=self._is_timed)
         return SoakReport(
             seed=self._seed,
             calls=len(calls),
             served=sum(record.status == STATUS_OK for record in calls),
             faults=[fault.kind.value for fault in planned],
             recovered_s=recovered_s,
-            broken=self._broken,
+            broken=self._violations,
         )
 
     def _spans_without(
         self, allowed: frozenset[FaultKind], began_s: float
     ) -> list[Span]:
-        """Return the spans in which nothing but the allowed kinds went on."""
+        """Return the periods in which only faults of the allowed kinds were active."""
         spans = []
-        calm_since_s = began_s
-        for span in sorted(span for kind, span in self._played if kind not in allowed):
-            if span.from_s > calm_since_s:
-                spans.append(Span(calm_since_s, span.from_s))
-            calm_since_s = max(calm_since_s, span.until_s)
-        spans.append(Span(calm_since_s, time.monotonic()))
+        free_since_s = began_s
+        for span in sorted(
+            span for kind, span in self._injected if kind not in allowed
+        ):
+            if span.start_s > free_since_s:
+                spans.append(Span(free_since_s, span.start_s))
+            free_since_s = max(free_since_s, span.end_s)
+        spans.append(Span(free_since_s, time.monotonic()))
         return spans
--- a/packages/clementineyoke-standins/tests/loopback.feature
+++ b/packages/clementineyoke-standins/tests/loopback.feature
@@ -1,9 +1,8 @@
 Feature: Addresses of fleets in tests
 
-  Scenario: A fleet claims its ports
-    # Symptom: once in some 900 fleets the first node cannot open its doors, 6 ms after
-    #   the start ("address already in use").
-    # Sequence: six ports are asked for one after the other, each given back at once.
-    # Cause: the kernel may name a port again that it has just got back.
-    Then each of 5000 fleets that claim 6 ports has 6 different ones
-    And none of them is among those that the kernel gives to connections
+  Scenario: A fleet selects distinct free ports
+    # In about 1 of 900 fleets the first node failed to listen, 6 ms after its start ("address
+    # already in use"): a fleet requests 6 ports, releases each at once, and the kernel may
+    # return a released port again.
+    Then each of 5000 fleets that request 6 ports gets 6 distinct ones
+    And no port is in the kernel's range of ephemeral ports
--- a/packages/clementineyoke-standins/tests/soak_audit.feature
+++ b/packages/clementineyoke-standins/tests/soak_audit.feature
@@ -1,11 +1,11 @@
-Feature: What the soak's audit makes of runners' signals
+Feature: The soak's audit checks that nodes follow the signals of runners
 
-  A node has passed on an answer of runner "a" at 10 s; the bound on new work is 2 s.
+  A node has relayed a response of runner "a" at 10 s; its deadline to stop new work is 2 s.
 
   Scenario Outline: A call reaches a draining runner
-    # Guards against an audit that a fleet blind to answers passes.
-    Given an answer that signals <signal> at 10 s through node 0
-    When a call that is sent through node <node> at <sent> s reaches the runner
+    # Guards against an audit that passes although nodes ignore draining signals in responses.
+    Given a response that signals <signal> at 10 s through node 0
+    When a call sent through node <node> at <sent> s reaches the runner
     And node <restarted> was restarted at 11 s
     Then the audit finds <found>
 
@@ -18,9 +18,9 @@
       | nothing  | 0    | 13   | 1         | nothing |
 
   Scenario Outline: Calls reach a runner within a backoff
-    # Guards against an audit that a fleet blind to refusals passes.
+    # Guards against an audit that passes although nodes ignore the backoff in refusals.
     Given a refusal with a backoff of 3 s at 10 s through node 0
-    When <calls> calls that are sent through node <node> from <sent> s on reach the runner
+    When <calls> calls sent through node <node> from <sent> s on reach the runner
     Then the audit finds <found>
 
     Examples:
--- a/packages/clementineyoke-standins/tests/steps/soak_audit_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/soak_audit_steps.py
@@ -4,8 +4,8 @@
 
 from clementineyoke_standins.soak.audit import (
     Evidence,
-    Restart,
-    RunnerSight,
+    NodeInterruption,
+    RunnerObservation,
     Span,
     audit,
 )
@@ -16,7 +16,7 @@
 RUNNER = "a"
 
 
-def add_call(context, *, node, at_s, is_refused=False, **said):
+def add_call(context, *, node, at_s, is_refused=False, **signals):
     call_id = f"call-{len(context.calls)}"
     record = CallRecord(
         call_id=call_id,
@@ -30,33 +30,32 @@
         has_proof=not is_refused,
     )
     context.calls.append(record)
-    sight = RunnerSight(RUNNER, call_id, at_s, has_run=not is_refused, **said)
-    context.sights.append(sight)
+    observation = RunnerObservation(
+        RUNNER, call_id, at_s, was_executed=not is_refused, **signals
+    )
+    context.observations.append(observation)
 
 
-@given("an answer that signals {word} at {at_s:g} s through node {node:d}")
-def given_answer(context, word, at_s, node):
-    context.calls, context.sights, context.restarts = [], [], []
-    add_call(context, node=node, at_s=at_s, says_draining=word == "draining")
+@given("a response that signals {word} at {at_s:g} s through node {node:d}")
+def given_response(context, word, at_s, node):
+    context.calls, context.observations, context.interruptions = [], [], []
+    add_call(context, node=node, at_s=at_s, signals_draining=word == "draining")
 
 
 @given(
     "a refusal with a backoff of {backoff_s:g} s at {at_s:g} s through node {node:d}"
 )
 def given_refusal(context, backoff_s, at_s, node):
-    context.calls, context.sights, context.restarts = [], [], []
+    context.calls, context.observations, context.interruptions = [], [], []
     add_call(context, node=node, at_s=at_s, is_refused=True, retry_after_s=backoff_s)
 
 
-@when("a call that is sent through node {node:d} at {at_s:g} s reaches the runner")
+@when("a call sent through node {node:d} at {at_s:g} s reaches the runner")
 def reach(context, node, at_s):
     add_call(context, node=node, at_s=at_s)
 
 
-@when(
-    "{count:d} calls that are sent through node {node:d} from {at_s:g} s on reach the "
-    "runner"
-)
+@when("{count:d} calls sent through node {node:d} from {at_s:g} s on reach the runner")
 def reach_often(context, count, node, at_s):
     for number in range(count):
         add_call(context, node=node, at_s=at_s + number / 10)
@@ -64,24 +63,24 @@
 
 @when("node {node:d} was restarted at {at_s:g} s")
 def restart(context, node, at_s):
-    context.restarts.append(Restart(node, Span(at_s, at_s + 1.0)))
+    context.interruptions.append(NodeInterruption(node, Span(at_s, at_s + 1.0)))
 
 
 @then("the audit finds {what}")
 def check_found(context, what):
     evidence = Evidence(
         calls=context.calls,
-        sights=context.sights,
-        issued={KEY: 0.0},
-        withdrawn=[],
-        left={},
-        emptied=[],
-        overruns={},
-        ends={RUNNER: []},
-        calm=[Span(0.0, 60.0)],
-        planned_only=[Span(0.0, 60.0)],
-        restarts=context.restarts,
-        cuts=[],
+        observations=context.observations,
+        key_issued_s={KEY: 0.0},
+        withdrawn_keys=[],
+        runner_left_s={},
+        evacuations=[],
+        overload_crashes={},
+        crash_times_s={RUNNER: []},
+        undisturbed=[Span(0.0, 60.0)],
+        planned_work_only=[Span(0.0, 60.0)],
+        interruptions=context.interruptions,
+        runner_link_faults=[],
     )
-    broken = audit(evidence, is_timed=True)
-    assert bool(broken) == (what == "a fault"), broken
+    violations = audit(evidence, is_timed=True)
+    assert bool(violations) == (what == "a fault"), violations
