--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
@@ -219,7 +219,7 @@
         return await self._send_response(writer, response, call_id)
 
     def _exceeds_cold_limit(self, now_s: float) -> bool:
-        """Return whether the calls of the last second crash a cold runner; count crashes."""
+        """Return whether recent calls crash a cold runner, and count these crashes."""
         if now_s >= self.cold_until_s or not self.cold_calls_per_s:
             return False
         max_calls = COLD_OVERLOAD_FACTOR * self.cold_calls_per_s + COLD_OVERLOAD_MARGIN
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/__init__.py
@@ -1,3 +1,3 @@
-"""Nine nodes, faults two at a time, then an audit."""
+"""Fault injection: pairs of faults on a fleet of nine nodes, followed by an audit."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault.py
@@ -1,4 +1,4 @@
-"""What every fault of the run offers."""
+"""Interface of the faults of a fault run."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Fault(Protocol):
-    """Something that begins, lasts and is healed."""
+    """A fault that can be injected and cleared."""
 
     name: str
 
-    async def begin(self) -> None:
-        """Bring the fault about."""
+    async def start(self) -> None:
+        """Inject the fault."""
         ...
 
-    async def heal(self) -> None:
-        """Take it away again."""
+    async def clear(self) -> None:
+        """Clear the fault."""
         ...
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The faults that the brief names, each brought about from outside the nodes."""
+"""Faults of a fault run, each injected from outside the nodes."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 KILLED_NODE = 2
 PAUSED_NODE = 3
 FLAPPING_RUNNER = 1
-FLAP_S = 0.3
-RACE_S = 0.2
+FLAP_INTERVAL_S = 0.3
+CHANGE_INTERVAL_S = 0.2
 
 
-async def put_control(path: str, document: Any) -> None:
-    """Set a switch of the stand-in platform."""
+async def set_platform_control(path: str, document: Any) -> None:
+    """Set a control of the fake platform."""
     async with aiohttp.ClientSession() as session:
         await session.put(f"{PLATFORM_URL}/control/{path}", json=document)
 
 
 class PlatformFault:
-    """The platform is away, slow, or loses replies; several at once if need be."""
+    """An outage, delay or loss of replies of the platform; several can be combined."""
 
     def __init__(
         self, *, name: str, switches: dict[str, Any], active: dict[str, Any]
@@ -41,36 +41,36 @@
         self.name = name
         self._switches = switches
         self._active = active
-        """Shared by all faults of the platform."""
+        """Active switches, shared by all faults of the platform."""
 
-    async def begin(self) -> None:
-        """Set the switches beside those that are set."""
+    async def start(self) -> None:
+        """Set this fault's switches in addition to the active ones."""
         self._active.update(self._switches)
-        await put_control("faults", self._active)
+        await set_platform_control("faults", self._active)
 
-    async def heal(self) -> None:
-        """Clear the own switches."""
+    async def clear(self) -> None:
+        """Clear this fault's switches."""
         for name in self._switches:
             self._active.pop(name, None)
-        await put_control("faults", self._active)
+        await set_platform_control("faults", self._active)
 
 
-class ListLag:
-    """The host list shows changes late."""
+class HostListLag:
+    """The host list shows changes with a longer delay."""
 
     name = "list_lag"
 
-    async def begin(self) -> None:
-        """Let changes take two seconds."""
-        await put_control("lag", {"lag_ms": 2_000})
+    async def start(self) -> None:
+        """Delay changes by 2 s."""
+        await set_platform_control("lag", {"lag_ms": 2_000})
 
-    async def heal(self) -> None:
-        """Let changes take half a second again."""
-        await put_control("lag", {"lag_ms": 500})
+    async def clear(self) -> None:
+        """Restore the usual delay of 0.5 s."""
+        await set_platform_control("lag", {"lag_ms": 500})
 
 
 class RunnerFlap:
-    """One engine leaves and comes back again and again."""
+    """One runner leaves the host list and returns repeatedly."""
 
     name = "runner_flap"
 
@@ -78,25 +78,25 @@
         self._host = fleet.runners[FLAPPING_RUNNER]
         self._task: asyncio.Task[None] | None = None
 
-    async def begin(self) -> None:
-        """Begin to flap."""
+    async def start(self) -> None:
+        """Start to alternate between leaving and live."""
         self._task = asyncio.create_task(self._flap())
 
-    async def heal(self) -> None:
-        """Stay live."""
+    async def clear(self) -> None:
+        """List the runner as live again."""
         if self._task is not None:
             self._task.cancel()
-        await put_control("hosts", self._host)
+        await set_platform_control("hosts", self._host)
 
     async def _flap(self) -> None:
         while True:
             for state in ("leaving", "live"):
-                await put_control("hosts", self._host | {"state": state})
-                await asyncio.sleep(FLAP_S)
+                await set_platform_control("hosts", self._host | {"state": state})
+                await asyncio.sleep(FLAP_INTERVAL_S)
 
 
 class NodePause:
-    """One node's process stands still and believes nothing has happened."""
+    """The process of one node is suspended and cannot notice it."""
 
     name = "node_pause"
 
@@ -104,17 +104,17 @@
         self._fleet = fleet
         self._node = fleet.nodes[PAUSED_NODE]["host"]
 
-    async def begin(self) -> None:
-        """Stop the process."""
+    async def start(self) -> None:
+        """Suspend the process."""
         self._fleet.signal(self._node, signal.SIGSTOP)
 
-    async def heal(self) -> None:
-        """Let it run on."""
+    async def clear(self) -> None:
+        """Resume the process."""
         self._fleet.signal(self._node, signal.SIGCONT)
 
 
 class NodeKill:
-    """One node dies and another is started at its address."""
+    """One node is killed and another is started at its address."""
 
     name = "node_kill"
 
@@ -122,18 +122,18 @@
         self._fleet = fleet
         self._host = fleet.nodes[KILLED_NODE]
 
-    async def begin(self) -> None:
-        """Kill the process."""
+    async def start(self) -> None:
+        """Kill the process and wait for its exit."""
         self._fleet.signal(self._host["host"], signal.SIGKILL)
         await self._fleet.wait_ended(self._host["host"])
 
-    async def heal(self) -> None:
-        """Start it again."""
+    async def clear(self) -> None:
+        """Start a node at the same address."""
         await self._fleet.start_node(self._host)
 
 
 class NodePartition:
-    """Four nodes and the other five do not hear each other."""
+    """Four nodes and the other five cannot exchange messages."""
 
     name = "partition"
 
@@ -141,17 +141,17 @@
         self._addresses = [host["address"] for host in fleet.nodes[::2]][:4]
         self._file = file
 
-    async def begin(self) -> None:
-        """Name one side."""
+    async def start(self) -> None:
+        """Write the addresses of one side to the partition file."""
         self._file.write_text("\n".join(self._addresses), encoding="utf-8")
 
-    async def heal(self) -> None:
-        """Name nobody."""
+    async def clear(self) -> None:
+        """Remove the partition file."""
         self._file.unlink(missing_ok=True)
 
 
 class OperatorRace:
-    """Two operators change settings through two nodes, each on what it sees."""
+    """Two operators change settings through two nodes, each based on what it reads."""
 
     name = "operator_race"
 
@@ -159,21 +159,21 @@
         self._nodes = [fleet.nodes[0], fleet.nodes[5]]
         self._tasks: list[asyncio.Task[None]] = []
         self.accepted: dict[int, str] = {}
-        """Note of each change that an operator was told is accepted."""
+        """Note of each change reported to an operator as accepted, by version."""
 
-    async def begin(self) -> None:
-        """Begin to race."""
+    async def start(self) -> None:
+        """Start to change settings."""
         self._tasks = [
             asyncio.create_task(self._change(host, number))
             for number, host in enumerate(self._nodes)
         ]
 
-    async def heal(self) -> None:
-        """Let the changes under way end, and make no more."""
+    async def clear(self) -> None:
+        """Cancel the changes and wait until both operators have stopped."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
-            # Anything but the cancelling is a fault of this tool: it must be seen.
+            # Any other exception is an error in this tool and must be raised.
             with suppress(asyncio.CancelledError):
                 await task
 
@@ -183,7 +183,7 @@
             count += 1
             with suppress(AdminError):
                 await self._change_once(host, f"operator-{number}-{count}")
-            await asyncio.sleep(RACE_S)
+            await asyncio.sleep(CHANGE_INTERVAL_S)
 
     async def _change_once(self, host: HostBody, note: str) -> None:
         client = operator_client(admin_url(host))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
@@ -1,4 +1,4 @@
-"""Play every pair of faults under traffic, and audit what came of it."""
+"""Inject every pair of faults under traffic and audit the results."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from clementineyoke_standins.demo.traffic import Traffic, make_session
 from clementineyoke_standins.faults.fault_kinds import (
     KILLED_NODE,
-    ListLag,
+    HostListLag,
     NodeKill,
     NodePartition,
     NodePause,
     OperatorRace,
     PlatformFault,
     RunnerFlap,
-    put_control,
+    set_platform_control,
 )
 from clementineyoke_standins.faults.partitioned_peer_socket import PARTITION_FILE
-from clementineyoke_standins.faults.settings_watch import SettingsWatch
+from clementineyoke_standins.faults.settings_watch import SettingsMonitor
 
 if TYPE_CHECKING:
     import aiohttp
@@ -41,17 +41,17 @@
     from clementineyoke_standins.faults.fault import Fault
 
 NODE_MODULE = "clementineyoke_standins.console.faulty_node"
-LASTS_S = 2.5
-REST_S = 1.2
+FAULT_DURATION_S = 2.5
+RECOVERY_S = 1.2
 CHATS_PER_S = 12.0
 POSTS_PER_S = 15.0
-LEAVE_S = 4.0
+NODE_PAUSE_S = 4.0
 CALL_TIMEOUT_S = 8.0
-LEAVE_BOUND_S = 3.0
+MAX_WORK_AFTER_LEAVE_S = 3.0
 
 
 class FaultAudit(NamedTuple):
-    """What the run found; the counts but the first four must be 0."""
+    """Results of a run; all counts except the first four must be 0."""
 
     pairs: int
     chats: int
@@ -67,25 +67,25 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether every promise held."""
-        broken = self.doubled + self.false_not_run + self.crossed
-        broken += self.cut + self.late_work + self.reverted
-        return broken == 0 and not self.differences
+        """Whether no guarantee was violated."""
+        violations = self.doubled + self.false_not_run + self.crossed
+        violations += self.cut + self.late_work + self.reverted
+        return violations == 0 and not self.differences
 
 
 class FaultRun:
-    """Own one run: the fleet, its traffic and the plan of faults."""
+    """Run a fleet under traffic and inject pairs of faults into it."""
 
     def __init__(self, *, deployment: Deployment, seed: int, most_pairs: int) -> None:
         self._deployment = deployment
         self._rng = Random(seed)
-        self._most_pairs = most_pairs
+        self._max_pairs = most_pairs
         self._folder = Path("build") / "faults"
         self._tally = CallerTally()
         self._late_work = 0
 
     async def run(self) -> FaultAudit:
-        """Play all pairs and return the audit."""
+        """Inject all pairs of faults and return the audit."""
         partition_file = (self._folder / "partition").absolute()
         partition_file.unlink(missing_ok=True)
         os.environ[PARTITION_FILE] = str(partition_file)
@@ -100,25 +100,25 @@
             await operator_client(admin_url(fleet.nodes[0])).change_settings(change)
             await fleet.wait_ready()
             race = OperatorRace(fleet=fleet)
-            faults = _all_faults(fleet, race, partition_file)
-            watch = SettingsWatch(fleet=fleet)
-            pairs = await self._play(fleet, faults, watch)
-            return await self._audit(fleet, race, watch, pairs)
+            faults = _make_faults(fleet, race, partition_file)
+            monitor = SettingsMonitor(fleet=fleet)
+            pairs = await self._inject_pairs(fleet, faults, monitor)
+            return await self._audit(fleet, race, monitor, pairs)
 
-    async def _play(
-        self, fleet: FleetProcesses, faults: list[Fault], watch: SettingsWatch
+    async def _inject_pairs(
+        self, fleet: FleetProcesses, faults: list[Fault], monitor: SettingsMonitor
     ) -> int:
         pairs = list(itertools.combinations(faults, 2))
         self._rng.shuffle(pairs)
-        pairs = pairs[: self._most_pairs]
+        pairs = pairs[: self._max_pairs]
         async with make_session(CALL_TIMEOUT_S) as session:
             traffic = self._make_traffic(fleet, session)
-            looking = asyncio.create_task(watch.run())
+            monitor_task = asyncio.create_task(monitor.run())
             async with traffic:
                 for first, second in pairs:
-                    await self._play_pair(first, second)
-                await self._leave_runner(fleet)
-            looking.cancel()
+                    await self._inject_pair(first, second)
+                await self._remove_runner_during_pause(fleet)
+            monitor_task.cancel()
         return len(pairs)
 
     def _make_traffic(
@@ -134,45 +134,50 @@
             posts_per_s=POSTS_PER_S,
         )
 
-    async def _play_pair(self, first: Fault, second: Fault) -> None:
+    async def _inject_pair(self, first: Fault, second: Fault) -> None:
         print(f"{first.name} + {second.name}", flush=True)
-        await first.begin()
-        await asyncio.sleep(self._rng.uniform(0.0, LASTS_S / 2))
-        await second.begin()
-        await asyncio.sleep(LASTS_S)
-        await first.heal()
+        await first.start()
+        await asyncio.sleep(self._rng.uniform(0.0, FAULT_DURATION_S / 2))
+        await second.start()
+        await asyncio.sleep(FAULT_DURATION_S)
+        await first.clear()
         await asyncio.sleep(self._rng.uniform(0.0, 0.3))
-        await second.heal()
-        await asyncio.sleep(REST_S)
+        await second.clear()
+        await asyncio.sleep(RECOVERY_S)
 
-    async def _leave_runner(self, fleet: FleetProcesses) -> None:
-        """Let a runner leave while a node is frozen; callers go on asking that node."""
-        await asyncio.sleep(LASTS_S)
+    async def _remove_runner_during_pause(self, fleet: FleetProcesses) -> None:
+        """Remove a runner while a node is suspended that callers continue to call."""
+        await asyncio.sleep(FAULT_DURATION_S)
         leaving = fleet.runners[0]
         pause = NodePause(fleet=fleet)
-        await pause.begin()
-        await put_control("hosts", leaving | {"state": "leaving"})
+        await pause.start()
+        await set_platform_control("hosts", leaving | {"state": "leaving"})
         left_s = time.time()
-        await asyncio.sleep(LEAVE_S)
-        await pause.heal()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(NODE_PAUSE_S)
+        await pause.clear()
+        await asyncio.sleep(RECOVERY_S)
         stats = (await read_runner_stats([leaving]))[leaving["host"]]
-        last_s = stats["last_start_s"] - left_s
-        print(f"last work on the leaving runner: {last_s:.2f} s after it was listed")
-        self._late_work = int(last_s > LEAVE_BOUND_S)
+        last_work_s = stats["last_start_s"] - left_s
+        print(
+            f"last call started on the leaving runner: {last_work_s:.2f} s after it was"
+            " listed as leaving"
+        )
+        self._late_work = int(last_work_s > MAX_WORK_AFTER_LEAVE_S)
 
     async def _audit(
         self,
         fleet: FleetProcesses,
         race: OperatorRace,
-        watch: SettingsWatch,
+        monitor: SettingsMonitor,
         pairs: int,
     ) -> FaultAudit:
         executions = count_executions(await read_runner_stats(fleet.runners))
         tally = self._tally
         killed = fleet.nodes[KILLED_NODE]["address"]
-        cuts = sum(n for address, n in tally.cut_by_node.items() if address != killed)
-        false_not_run = [m for m in tally.not_run_marks if executions.get(m)]
+        cuts = sum(
+            count for address, count in tally.cut_by_node.items() if address != killed
+        )
+        false_not_run = [mark for mark in tally.not_run_marks if executions.get(mark)]
         return FaultAudit(
             pairs=pairs,
             chats=tally.outcomes["chat_whole"],
@@ -183,17 +188,17 @@
             crossed=tally.crossed,
             cut=cuts,
             late_work=self._late_work,
-            reverted=watch.reverts,
-            differences=await watch.differences(race.accepted),
+            reverted=monitor.reverts,
+            differences=await monitor.find_differences(race.accepted),
         )
 
     @property
     def tally(self) -> CallerTally:
-        """What the callers saw."""
+        """Counts of the results that callers observed."""
         return self._tally
 
 
-def _all_faults(
+def _make_faults(
     fleet: FleetProcesses, race: OperatorRace, partition_file: Path
 ) -> list[Fault]:
     active: dict[str, Any] = {}
@@ -204,10 +209,10 @@
     }
     return [
         *(
-            PlatformFault(name=name, switches=set_to, active=active)
-            for name, set_to in switches.items()
+            PlatformFault(name=name, switches=values, active=active)
+            for name, values in switches.items()
         ),
-        ListLag(),
+        HostListLag(),
         RunnerFlap(fleet=fleet),
         NodePause(fleet=fleet),
         NodeKill(fleet=fleet),
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/partitioned_peer_socket.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/partitioned_peer_socket.py
@@ -1,4 +1,4 @@
-"""A peer socket that drops what comes from the other side of a partition."""
+"""A peer socket that drops datagrams from the other side of a network partition."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 
 class PartitionedPeerSocket(PeerSocket):
-    """Read the addresses to drop from a file, anew for each datagram.
+    """Drop datagrams between the two sides of a partition that is defined in a file.
 
-    The file holds addresses of one side; whoever is not on it is the other side.
+    The file lists the addresses of one side; all other addresses are on the other side.
+    It is read again for each datagram. Without a file there is no partition.
     """
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Drop or hand on."""
+        """Process a datagram unless it comes from the other side."""
         side = _read_side()
         if (addr[0] in side) == (self.own_address in side):
             super().datagram_received(data, addr)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/claims_roll_spec.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/claims_roll_spec.py
@@ -1,7 +1,8 @@
-"""Run-once claims while a shard moves on to its next segment.
+"""Model of run-once claims while a shard advances to its next segment.
 
-Two holders of one key, two homes; a home may read the head, pause, and read the
-segments later. The danger is a claim that lands in a segment the others have left.
+There are two holders of one key and two home nodes. A home node may read the head,
+pause, and read the segments later. A claim must not be written to a segment that other
+home nodes no longer use.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 HOLDERS = ("A", "B")
 HOMES = (0, 1)
-NOBODY = ""
-LAST_VERSION = 3
+NO_HOLDER = ""
+MAX_VERSION = 3
 
 
 class Segment(NamedTuple):
-    """A segment object; the newest record of the one key."""
+    """A stored segment with the newest record of the key."""
 
     version: int
     holder: str
@@ -30,21 +31,21 @@
 
 
 class Head(NamedTuple):
-    """The head object: which of two segments is open."""
+    """The stored head, with the number of the open segment."""
 
     version: int
-    open: int
+    open_segment: int
 
 
 class Cache(NamedTuple):
-    """What a home has read, or only the head of it."""
+    """What a home node has read; no segments if it has only read the head."""
 
     head: Head
     segments: tuple[Segment, Segment] | None
 
 
 class Write(NamedTuple):
-    """A write under way; versions are the expected ones."""
+    """A pending write, with the versions that it expects."""
 
     kind: str
     target: int
@@ -53,7 +54,7 @@
 
 
 class State(NamedTuple):
-    """Everything that a step may depend on."""
+    """State of the model."""
 
     head: Head
     segments: tuple[Segment, Segment]
@@ -64,25 +65,25 @@
 
 
 class Guards(NamedTuple):
-    """The guards of the protocol; a mutation switches one off."""
+    """Guards of the protocol, each of which a mutation disables."""
 
     seal_before_head: bool = True
     conditional_write: bool = True
 
 
-EMPTY = Segment(0, NOBODY, False)
+EMPTY = Segment(0, NO_HOLDER, False)
 INITIAL = State(
     Head(0, 0), (EMPTY, EMPTY), (None, None), (None, None), ("idle", "idle"), (0, 0)
 )
 MUTATIONS = {
-    "move the head before the seal": Guards(seal_before_head=False),
-    "write without a version": Guards(conditional_write=False),
+    "advance the head before sealing": Guards(seal_before_head=False),
+    "write without an expected version": Guards(conditional_write=False),
 }
 Step = tuple[str, State]
 
 
 def build(guards: Guards) -> Any:
-    """Return the protocol for the checker."""
+    """Return the protocol for the model checker."""
     return Protocol(
         name="claims_roll",
         candidate=False,
@@ -94,26 +95,26 @@
 
 
 def steps(state: State, guards: Guards) -> Iterator[Step]:
-    """Yield every step that may come next."""
+    """Yield the label and the next state of each possible step."""
     for index, holder in enumerate(HOLDERS):
         phase = state.phases[index]
         if phase == "idle":
-            yield f"ask {holder}", _with_phase(state, index, "asked")
+            yield f"submit {holder}", _with_phase(state, index, "submitted")
         if phase == "granted":
-            runs = _put(state.runs, index, state.runs[index] + 1)
+            runs = _replace_at(state.runs, index, state.runs[index] + 1)
             after = _with_phase(state, index, "ran")._replace(runs=runs)
             yield f"run {holder}", after
         for home in HOMES:
             yield from _decide_steps(state, index, home)
     for home in HOMES:
         yield from _read_steps(state, home)
-        yield from _prepare_steps(state, home, guards)
-        yield from _land_steps(state, home, guards)
+        yield from _write_steps(state, home, guards)
+        yield from _reply_steps(state, home, guards)
 
 
 def _decide_steps(state: State, index: int, home: int) -> Iterator[Step]:
     known = _known_holder(state.caches[home])
-    if known in (None, NOBODY) or state.phases[index] != "asked":
+    if known in (None, NO_HOLDER) or state.phases[index] != "submitted":
         return
     verdict = "granted" if known == HOLDERS[index] else "unknown"
     yield f"decide {HOLDERS[index]} {home}", _with_phase(state, index, verdict)
@@ -131,53 +132,58 @@
         yield f"load {home}", _with_cache(state, home, read)
 
 
-def _prepare_steps(state: State, home: int, guards: Guards) -> Iterator[Step]:
+def _write_steps(state: State, home: int, guards: Guards) -> Iterator[Step]:
     cache = state.caches[home]
     if cache is None or cache.segments is None or state.writes[home] is not None:
         return
-    number = cache.head.open
+    number = cache.head.open_segment
     segment = cache.segments[number]
-    if segment.version < LAST_VERSION and not segment.is_sealed:
+    if segment.version < MAX_VERSION and not segment.is_sealed:
         for index, holder in enumerate(HOLDERS):
-            if state.phases[index] == "asked" and _known_holder(cache) == NOBODY:
+            if state.phases[index] == "submitted" and _known_holder(cache) == NO_HOLDER:
                 claimed = segment._replace(holder=holder)
                 write = Write("claims", number, claimed, cache.head)
-                yield f"prepare claims {holder} {home}", _with_write(state, home, write)
+                yield (
+                    f"next_write claims {holder} {home}",
+                    _with_write(state, home, write),
+                )
         if number == 0:
             sealed = segment._replace(is_sealed=True)
             write = Write("seal", number, sealed, cache.head)
-            yield f"prepare seal {home}", _with_write(state, home, write)
+            yield f"next_write seal {home}", _with_write(state, home, write)
     if number == 0 and (segment.is_sealed or not guards.seal_before_head):
-        write = Write("head", 1, segment, cache.head._replace(open=1))
-        yield f"prepare head {home}", _with_write(state, home, write)
+        write = Write("head", 1, segment, cache.head._replace(open_segment=1))
+        yield f"next_write head {home}", _with_write(state, home, write)
 
 
-def _land_steps(state: State, home: int, guards: Guards) -> Iterator[Step]:
+def _reply_steps(state: State, home: int, guards: Guards) -> Iterator[Step]:
     write = state.writes[home]
     if write is None:
         return
-    freed = _with_write(state, home, None)
-    landed = _land(freed, write, guards)
-    if landed is None:
-        yield f"distrust {home}", _with_cache(freed, home, None)
+    without_write = _with_write(state, home, None)
+    applied = _apply_write(without_write, write, guards)
+    if applied is None:
+        yield f"mark_stale {home}", _with_cache(without_write, home, None)
         return
-    yield f"lose_reply {home}", _with_cache(landed, home, None)
+    yield f"lose_reply {home}", _with_cache(applied, home, None)
     yield (
-        f"written {home}",
-        _with_cache(landed, home, _after_write(landed, home, write)),
+        f"record_written {home}",
+        _with_cache(applied, home, _after_write(applied, home, write)),
     )
 
 
-def _land(state: State, write: Write, guards: Guards) -> State | None:
+def _apply_write(state: State, write: Write, guards: Guards) -> State | None:
     if write.kind == "head":
         if guards.conditional_write and write.head.version != state.head.version:
             return None
-        return state._replace(head=Head(state.head.version + 1, write.head.open))
+        return state._replace(
+            head=Head(state.head.version + 1, write.head.open_segment)
+        )
     stored = state.segments[write.target]
     if guards.conditional_write and write.segment.version != stored.version:
         return None
     segment = write.segment._replace(version=stored.version + 1)
-    return state._replace(segments=_put(state.segments, write.target, segment))
+    return state._replace(segments=_replace_at(state.segments, write.target, segment))
 
 
 def _after_write(state: State, home: int, write: Write) -> Cache | None:
@@ -185,32 +191,32 @@
     if cache is None or cache.segments is None:
         return None
     if write.kind == "head":
-        # The home does not read the next segment: it takes it to be as it last was.
+        # The home node keeps its copy of the next segment instead of reading it again.
         return cache._replace(head=state.head)
-    written = state.segments[write.target]
-    return cache._replace(segments=_put(cache.segments, write.target, written))
+    stored = state.segments[write.target]
+    return cache._replace(segments=_replace_at(cache.segments, write.target, stored))
 
 
 def _known_holder(cache: Cache | None) -> str | None:
     if cache is None or cache.segments is None:
         return None
-    holder = NOBODY
-    for segment in cache.segments[: cache.head.open + 1]:
+    holder = NO_HOLDER
+    for segment in cache.segments[: cache.head.open_segment + 1]:
         holder = segment.holder or holder
     return holder
 
 
 def _with_phase(state: State, index: int, phase: str) -> State:
-    return state._replace(phases=_put(state.phases, index, phase))
+    return state._replace(phases=_replace_at(state.phases, index, phase))
 
 
 def _with_cache(state: State, home: int, cache: Cache | None) -> State:
-    return state._replace(caches=_put(state.caches, home, cache))
+    return state._replace(caches=_replace_at(state.caches, home, cache))
 
 
 def _with_write(state: State, home: int, write: Write | None) -> State:
-    return state._replace(writes=_put(state.writes, home, write))
+    return state._replace(writes=_replace_at(state.writes, home, write))
 
 
-def _put(pair: tuple[T, T], index: int, value: T) -> tuple[T, T]:
+def _replace_at(pair: tuple[T, T], index: int, value: T) -> tuple[T, T]:
     return (value, pair[1]) if index == 0 else (pair[0], value)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/cold_grants_spec.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/cold_grants_spec.py
@@ -1,8 +1,8 @@
-"""Grants on a cold runner: homes that move, and askers whose home is silent.
+"""Model of grants on a cold runner whose home node may change or be unreachable.
 
-Time goes in ticks, four to a second; the runner bears two calls a second. Its home may
-move, and for a while the old and the new home both grant. Each spaces its grants. The
-runner must never get more than twice what it bears within any second.
+Time advances in ticks, four per second; the runner's limit is two calls per second.
+When its home node changes, the old and the new one both grant calls for a while, each
+at even intervals. The runner must never get more than twice its limit in any second.
 """
 
 from __future__ import annotations
@@ -14,44 +14,44 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-TICKS_A_SECOND = 4
-BEARS = 2
-GAP_TICKS = TICKS_A_SECOND // BEARS
+TICKS_PER_S = 4
+MAX_CALLS_PER_S = 2
+GRANT_INTERVAL_TICKS = TICKS_PER_S // MAX_CALLS_PER_S
 HOMES = (0, 1)
 
 
 class State(NamedTuple):
-    """What both homes count, and what the runner got in the last second."""
-
-    lately: tuple[int, ...] = (0,) * TICKS_A_SECOND
-    """Calls in each of the last ticks, the newest last."""
-    waits: tuple[int, int] = (0, 0)
-    """Ticks until each home may grant again."""
-    allowances: tuple[int, int] = (BEARS, BEARS)
-    """What a bucket of each home holds; only a mutation goes by it."""
+    """Counters of both home nodes, and the runner's calls in the last second."""
+
+    recent_calls: tuple[int, ...] = (0,) * TICKS_PER_S
+    """Calls in each of the last ticks, the newest tick last."""
+    wait_ticks: tuple[int, int] = (0, 0)
+    """Ticks until each home node may grant again."""
+    bucket_tokens: tuple[int, int] = (MAX_CALLS_PER_S, MAX_CALLS_PER_S)
+    """Tokens in a bucket of each home node; used by a mutation only."""
     has_moved: bool = False
-    """Whether the home moves; the old one and the new one then both grant."""
+    """Whether the home node changes, so that the old and the new one both grant."""
 
 
 class Guards(NamedTuple):
-    """The guards of the protocol; a mutation switches one off."""
+    """Guards of the protocol, each of which a mutation disables."""
 
     space_evenly: bool = True
-    ask_a_home: bool = True
-    bind_last_asks: bool = True
+    require_home_grant: bool = True
+    pace_final_requests: bool = True
 
 
 INITIAL = State()
 MUTATIONS = {
-    "grant from a bucket": Guards(space_evenly=False),
-    "send without a home": Guards(ask_a_home=False),
-    "grant each last ask": Guards(bind_last_asks=False),
+    "grant from a token bucket": Guards(space_evenly=False),
+    "send without a grant": Guards(require_home_grant=False),
+    "grant every final request": Guards(pace_final_requests=False),
 }
 Step = tuple[str, State]
 
 
 def build(guards: Guards) -> Protocol:
-    """Return the protocol for the checker."""
+    """Return the protocol for the model checker."""
     return Protocol(
         name="cold_grants",
         candidate=False,
@@ -59,57 +59,60 @@
         initial=INITIAL,
         transitions=lambda state: list(steps(state, guards)),
         invariants={
-            "no_second_has_more_than_two_homes_worth": lambda s: (
-                sum(s["lately"]) <= len(HOMES) * BEARS
+            "calls_per_second_within_limit_of_two_homes": lambda s: (
+                sum(s["recent_calls"]) <= len(HOMES) * MAX_CALLS_PER_S
             ),
         },
     )
 
 
 def steps(state: State, guards: Guards) -> Iterator[Step]:
-    """Yield every step that may come next."""
+    """Yield the label and the next state of each possible step."""
     yield "tick", _tick(state)
     if not state.has_moved:
-        yield "move home", state._replace(has_moved=True)
-    if sum(state.lately) > len(HOMES) * BEARS:
-        return  # broken already: the checker stops at the first
+        yield "change home node", state._replace(has_moved=True)
+    if sum(state.recent_calls) > len(HOMES) * MAX_CALLS_PER_S:
+        return  # the invariant is already violated
     for home in HOMES[: 2 if state.has_moved else 1]:
         if _may_grant(state, home, guards):
             yield f"grant {home}", _grant(state, home)
-    if not guards.ask_a_home:
-        yield "send without a home", _send(state)
+    if not guards.require_home_grant:
+        yield "send without a grant", _send(state)
 
 
 def _may_grant(state: State, home: int, guards: Guards) -> bool:
-    if not guards.bind_last_asks:
+    if not guards.pace_final_requests:
         return True
     if not guards.space_evenly:
-        return state.allowances[home] > 0
-    return state.waits[home] == 0
+        return state.bucket_tokens[home] > 0
+    return state.wait_ticks[home] == 0
 
 
 def _tick(state: State) -> State:
-    waits = tuple(max(0, wait - 1) for wait in state.waits)
-    # A bucket gets a call back each second tick, up to what the runner bears.
-    allowances = tuple(
-        min(BEARS, held + (wait == 1))
-        for held, wait in zip(state.allowances, state.waits, strict=True)
+    wait_ticks = tuple(max(0, ticks - 1) for ticks in state.wait_ticks)
+    # A bucket gains a token every second tick, up to the runner's limit.
+    bucket_tokens = tuple(
+        min(MAX_CALLS_PER_S, tokens + (ticks == 1))
+        for tokens, ticks in zip(state.bucket_tokens, state.wait_ticks, strict=True)
     )
     return state._replace(
-        lately=(*state.lately[1:], 0),
-        waits=(waits[0], waits[1]),
-        allowances=(allowances[0], allowances[1]),
+        recent_calls=(*state.recent_calls[1:], 0),
+        wait_ticks=(wait_ticks[0], wait_ticks[1]),
+        bucket_tokens=(bucket_tokens[0], bucket_tokens[1]),
     )
 
 
 def _grant(state: State, home: int) -> State:
-    waits, allowances = list(state.waits), list(state.allowances)
-    waits[home] = GAP_TICKS
-    allowances[home] = max(0, allowances[home] - 1)
+    wait_ticks, bucket_tokens = list(state.wait_ticks), list(state.bucket_tokens)
+    wait_ticks[home] = GRANT_INTERVAL_TICKS
+    bucket_tokens[home] = max(0, bucket_tokens[home] - 1)
     return _send(state)._replace(
-        waits=(waits[0], waits[1]), allowances=(allowances[0], allowances[1])
+        wait_ticks=(wait_ticks[0], wait_ticks[1]),
+        bucket_tokens=(bucket_tokens[0], bucket_tokens[1]),
     )
 
 
 def _send(state: State) -> State:
-    return state._replace(lately=(*state.lately[:-1], state.lately[-1] + 1))
+    return state._replace(
+        recent_calls=(*state.recent_calls[:-1], state.recent_calls[-1] + 1)
+    )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/evacuations_spec.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/evacuations_spec.py
@@ -1,9 +1,9 @@
-"""Orders to empty a zone: news in any order, a node that restarts, a watch that lags.
+"""Model of zone evacuations with unordered updates, restarts and delayed watches.
 
-The operator empties a zone and takes it back, again and again. Each state of the orders
-is the truth of one revision, and any of them may be told at any time later, also to a
-node that has just started. A node must believe the newest truth that it has heard of in
-its lifetime, and must serve nothing before it has heard any.
+The operator evacuates a zone and ends the evacuation repeatedly. Each revision of the
+store has one state of the orders, and a node may receive any of them at any later time,
+also just after its start. A node must follow the newest state that it has received in
+its lifetime, and must not serve calls before it has received one.
 """
 
 from __future__ import annotations
@@ -15,44 +15,46 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LAST_REVISION = 5
-UNHEARD = 0
+MAX_REVISION = 5
+NO_REVISION = 0
 
 
 class State(NamedTuple):
-    """The store's truth by revision, and what one node believes."""
+    """The store's state by revision, and what one node knows of it."""
 
-    truths: tuple[bool, ...] = (False,)
-    """Whether the zone is emptied, as of revisions 1, 2 and so on. One revision may
-    repeat the truth before it: other objects change as well."""
-    as_of: int = UNHEARD
-    """The revision of the node's view."""
-    believed: bool = False
-    heard: int = UNHEARD
-    """The newest revision that the node was told of in its lifetime."""
-    serves: bool = False
+    history: tuple[bool, ...] = (False,)
+    """Whether the zone is evacuated as of revisions 1, 2 and so on. A revision may
+    repeat the state before it, since other objects change as well."""
+    known_revision: int = NO_REVISION
+    """Revision of the node's view."""
+    known_evacuated: bool = False
+    newest_received: int = NO_REVISION
+    """Newest revision that the node has received in its lifetime."""
+    is_serving: bool = False
 
 
 class Guards(NamedTuple):
-    """The guards of the protocol; a mutation switches one off."""
+    """Guards of the protocol, each of which a mutation disables."""
 
     compare_revisions: bool = True
-    same_orders_count: bool = True
-    """Whether the same orders as of a later revision are newer knowledge."""
-    wait_until_told: bool = True
+    accept_unchanged_orders: bool = True
+    """Whether unchanged orders of a later revision advance the node's view."""
+    require_orders_to_serve: bool = True
 
 
 INITIAL = State()
 MUTATIONS = {
-    "take words in the order of their arrival": Guards(compare_revisions=False),
-    "pass over the same orders seen later": Guards(same_orders_count=False),
-    "serve before any word": Guards(wait_until_told=False),
+    "apply updates in order of arrival": Guards(compare_revisions=False),
+    "ignore unchanged orders of a later revision": Guards(
+        accept_unchanged_orders=False
+    ),
+    "serve before receiving orders": Guards(require_orders_to_serve=False),
 }
 Step = tuple[str, State]
 
 
 def build(guards: Guards) -> Protocol:
-    """Return the protocol for the checker."""
+    """Return the protocol for the model checker."""
     return Protocol(
         name="evacuations",
         candidate=False,
@@ -60,34 +62,45 @@
         initial=INITIAL,
         transitions=lambda state: list(steps(state, guards)),
         invariants={
-            "believes_the_newest_it_heard": lambda s: (
-                s["heard"] == UNHEARD or s["believed"] == s["truths"][s["heard"] - 1]
+            "knows_newest_received": lambda s: (
+                s["newest_received"] == NO_REVISION
+                or s["known_evacuated"] == s["history"][s["newest_received"] - 1]
+            ),
+            "serves_only_with_orders": lambda s: (
+                not s["is_serving"] or s["newest_received"] > NO_REVISION
             ),
-            "serves_nothing_untold": lambda s: not s["serves"] or s["heard"] > UNHEARD,
         },
     )
 
 
 def steps(state: State, guards: Guards) -> Iterator[Step]:
-    """Yield every step that may come next."""
-    if len(state.truths) < LAST_REVISION:
-        for order in (True, False):
-            truths = (*state.truths, order)
-            yield f"write {order}", state._replace(truths=truths)
-    for revision in range(1, len(state.truths) + 1):
-        yield f"hear {revision}", _hear(state, revision, guards)
-    if not state.serves and (state.heard or not guards.wait_until_told):
-        yield "serve", state._replace(serves=True)
-    if state.heard or state.serves:
-        yield "restart", State(truths=state.truths)
-
-
-def _hear(state: State, revision: int, guards: Guards) -> State:
-    told = state.truths[revision - 1]
-    heard = max(state.heard, revision)
-    if guards.compare_revisions and revision <= state.as_of:
-        return state._replace(heard=heard)
-    is_same = state.as_of != UNHEARD and told == state.believed
-    if is_same and not guards.same_orders_count:
-        return state._replace(heard=heard)
-    return state._replace(as_of=revision, believed=told, heard=heard)
+    """Yield the label and the next state of each possible step."""
+    if len(state.history) < MAX_REVISION:
+        for is_evacuated in (True, False):
+            history = (*state.history, is_evacuated)
+            yield f"write {is_evacuated}", state._replace(history=history)
+    for revision in range(1, len(state.history) + 1):
+        yield f"receive {revision}", _receive(state, revision, guards)
+    if not state.is_serving and (
+        state.newest_received or not guards.require_orders_to_serve
+    ):
+        yield "serve", state._replace(is_serving=True)
+    if state.newest_received or state.is_serving:
+        yield "restart", State(history=state.history)
+
+
+def _receive(state: State, revision: int, guards: Guards) -> State:
+    is_evacuated = state.history[revision - 1]
+    newest_received = max(state.newest_received, revision)
+    if guards.compare_revisions and revision <= state.known_revision:
+        return state._replace(newest_received=newest_received)
+    is_unchanged = (
+        state.known_revision != NO_REVISION and is_evacuated == state.known_evacuated
+    )
+    if is_unchanged and not guards.accept_unchanged_orders:
+        return state._replace(newest_received=newest_received)
+    return state._replace(
+        known_revision=revision,
+        known_evacuated=is_evacuated,
+        newest_received=newest_received,
+    )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/model_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/model_run.py
@@ -1,4 +1,4 @@
-"""Check each specification, and that the checker catches each mutation."""
+"""Check each specification, and that the model checker rejects each mutation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-MOST_STATES = 2_000_000
+MAX_STATES = 2_000_000
 SPECS: tuple[Any, ...] = (
     claims_spec,
     claims_roll_spec,
@@ -36,18 +36,21 @@
 
 
 class ModelResult(NamedTuple):
-    """What the checker said of one specification or mutation."""
+    """Result of checking one specification or mutation."""
 
     name: str
     states: int
     is_proved: bool
     broken: list[str]
     trace: list[str]
-    """The steps of the shortest counterexample."""
+    """Step labels of the shortest counterexample."""
 
 
 def check_all() -> Iterator[tuple[ModelResult, bool]]:
-    """Yield each result and whether it is as it must be."""
+    """Yield each result and whether it is as expected.
+
+    A specification must be proved, and a mutation must break an invariant.
+    """
     for spec in SPECS:
         name = spec.__name__.rsplit(".", 1)[1]
         result = _check(name, spec.build(spec.Guards()))
@@ -58,18 +61,18 @@
 
 
 def check_mutation(spec: Any, mutation: str) -> ModelResult:
-    """Check a specification with one guard switched off."""
+    """Check a specification with one guard disabled."""
     name = spec.__name__.rsplit(".", 1)[1]
     return _check(f"{name}: {mutation}", spec.build(spec.MUTATIONS[mutation]))
 
 
 def _check(name: str, protocol: Any) -> ModelResult:
-    report = check_safety(protocol, max_states=MOST_STATES)
+    report = check_safety(protocol, max_states=MAX_STATES)
     properties = report["properties"]
     broken = [key for key, found in properties.items() if found["holds"] is False]
-    proved = all(found["holds"] is True for found in properties.values())
+    is_proved = all(found["holds"] is True for found in properties.values())
     trace: list[str] = []
     if broken:
         steps = properties[broken[0]]["counterexample"]
         trace = [str(step["label"]) for step in steps[1:]]
-    return ModelResult(name, int(report["reachable_states"]), proved, broken, trace)
+    return ModelResult(name, int(report["reachable_states"]), is_proved, broken, trace)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
@@ -136,10 +136,13 @@
 ) -> Iterable[str]:
     for call in calls:
         seen = executions.get(call.call_id, [])
-        is_non_idempotent = call.kind is RouteKind.NON_IDEMPOTENT
-        if is_non_idempotent and len(seen) > 1:
+        if call.kind is RouteKind.NON_IDEMPOTENT and len(seen) > 1:
             yield f"{call.call_id}: executed {len(seen)} times"
-        if call.status in NOT_EXECUTED_STATUSES and seen and is_non_idempotent:
+        if (
+            call.status in NOT_EXECUTED_STATUSES
+            and seen
+            and call.kind is RouteKind.NON_IDEMPOTENT
+        ):
             yield f"{call.call_id}: answered with {call.status} but executed"
         if call.status in REJECTED_STATUSES and seen:
             yield f"{call.call_id}: answered with {call.status} but executed"
@@ -169,10 +172,12 @@
 def _has_crashed(
     evidence: Evidence, observation: RunnerObservation, until_s: float
 ) -> bool:
-    """Return whether the lifetime that received a call crashed before it ended."""
-    crash_times_s = evidence.crash_times_s[observation.runner_id]
-    lifetime = observation.lifetime
-    return lifetime < len(crash_times_s) and crash_times_s[lifetime] <= until_s
+    """Return whether the lifetime that received a call had crashed by then."""
+    crashes_s = evidence.crash_times_s[observation.runner_id]
+    return (
+        observation.lifetime < len(crashes_s)
+        and crashes_s[observation.lifetime] <= until_s
+    )
 
 
 def _check_keys(
@@ -181,30 +186,31 @@
     """Find calls executed with a withdrawn key or rejected with a valid one."""
     withdrawn_s = {entry.key: entry.confirmed_s for entry in evidence.withdrawn_keys}
     for call in evidence.calls:
-        applied_s = call.sent_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
-        if not _is_within(evidence.undisturbed, applied_s, call.ended_s):
+        # Changes confirmed before this time must be applied when the call is sent.
+        cutoff_s = call.sent_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+        if not _is_within(evidence.undisturbed, cutoff_s, call.ended_s):
             continue
         key_end_s = withdrawn_s.get(call.key, math.inf)
-        if key_end_s <= applied_s and executions.get(call.call_id):
+        if key_end_s <= cutoff_s and executions.get(call.call_id):
             delay_s = call.sent_s - key_end_s
             yield f"{call.call_id}: executed {delay_s:.1f} s after its key's withdrawal"
         is_valid = (
-            evidence.key_issued_s[call.key] <= applied_s and call.ended_s < key_end_s
+            evidence.key_issued_s[call.key] <= cutoff_s and call.ended_s < key_end_s
         )
         if is_valid and call.status in REJECTED_STATUSES:
-            yield f"{call.call_id}: {call.status} for {call.key}, which is valid"
+            yield f"{call.call_id}: rejected with {call.status}; {call.key} is valid"
 
 
 def _check_leaving_runners(evidence: Evidence) -> Iterable[str]:
     """Find new calls that reached a leaving runner after the deadline."""
     sent_s = {call.call_id: call.sent_s for call in evidence.calls}
     for observation in evidence.observations:
-        applied_s = observation.received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+        cutoff_s = observation.received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
         left_s = evidence.runner_left_s.get(observation.runner_id, math.inf)
         is_new = sent_s.get(observation.call_id, 0.0) > left_s
-        if left_s > applied_s or not is_new:
+        if left_s > cutoff_s or not is_new:
             continue
-        if _is_within(evidence.undisturbed, applied_s, observation.received_s):
+        if _is_within(evidence.undisturbed, cutoff_s, observation.received_s):
             delay_s = observation.received_s - left_s
             yield (
                 f"{observation.call_id}: reached {observation.runner_id}"
@@ -216,13 +222,15 @@
     """Find calls that reached a runner of an evacuated zone after the deadline."""
     for zone, start_s, end_s in evidence.evacuations:
         for observation in evidence.observations:
-            received_s = observation.received_s
-            applied_s = received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
-            is_evacuated = start_s <= applied_s and received_s <= end_s
-            if observation.zone != zone or not is_evacuated:
+            cutoff_s = observation.received_s - APPLY_DEADLINE_S - CLOCK_TOLERANCE_S
+            if (
+                observation.zone != zone
+                or not start_s <= cutoff_s
+                or observation.received_s > end_s
+            ):
                 continue
-            if _is_within(evidence.undisturbed, applied_s, received_s):
-                delay_s = received_s - start_s
+            if _is_within(evidence.undisturbed, cutoff_s, observation.received_s):
+                delay_s = observation.received_s - start_s
                 yield (
                     f"{observation.call_id}: reached {observation.runner_id}"
                     f" {delay_s:.1f} s after the evacuation of its zone"
@@ -251,8 +259,9 @@
         if observation.call_id not in calls:
             continue  # the caller was cancelled before it recorded the call
         call = calls[observation.call_id]
-        key = (call.node, observation.runner_id, observation.lifetime)
-        since_s = signalled_s.get(key, math.inf)
+        since_s = signalled_s.get(
+            (call.node, observation.runner_id, observation.lifetime), math.inf
+        )
         if call.sent_s <= since_s + APPLY_DEADLINE_S:
             continue
         if not _was_interrupted(evidence, call.node, since_s, observation.received_s):
@@ -269,8 +278,11 @@
     by_sender: dict[tuple[int, str, int], list[RunnerObservation]] = defaultdict(list)
     for observation in evidence.observations:
         if observation.call_id in nodes:
-            node = nodes[observation.call_id]
-            key = (node, observation.runner_id, observation.lifetime)
+            key = (
+                nodes[observation.call_id],
+                observation.runner_id,
+                observation.lifetime,
+            )
             by_sender[key].append(observation)
     for (node, runner_id, _), observations in by_sender.items():
         for refusal in observations:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
@@ -185,7 +185,7 @@
         return record.status == STATUS_OK
 
     async def _apply_changes_undisturbed(self) -> None:
-        """Change key, runners and zones once more while no other fault is active.
+        """Change keys, runners and zones once more while no other fault is active.
 
         Faults overlap from the first to the last, so that no guarantee with a deadline
         can be checked among them. A node that no longer receives updates is
--- a/packages/clementineyoke-standins/tests/model/claims_replay.feature
+++ b/packages/clementineyoke-standins/tests/model/claims_replay.feature
@@ -1,13 +1,11 @@
-Feature: The specification and the code are one protocol
+Feature: The claims specification and the core implement the same protocol
 
-  Scenario: Random walks of the claims specification on the real shard
-    # Symptom: the model is proved and the code is wrong.
-    # Sequence: code or specification is changed, the other is not.
-    # Cause: nothing ties them; replaying the walks compares them at every step.
+  Scenario: Random walks of the claims specification are replayed on the core's shards
+    # Guards against a proved specification and wrong code after only one of them has changed.
     Given 400 seeded walks of the claims specification
-    Then the real shards take the same steps to the same records and verdicts
-    And every kind of step was taken
+    Then the core's shards reach the same records and verdicts at every step
+    And every kind of step was replayed
 
-  Scenario: The counterexample of the missing version on the real shard
-    Given the counterexample of "write without a version"
-    Then the real shard refuses the write that the specification let land
+  Scenario: The core's shards reject the counterexample of an unconditional write
+    Given the counterexample of "write without an expected version"
+    Then the core's shard refuses the write that the mutated specification applies
--- a/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
@@ -14,7 +14,7 @@
 from clementineyoke_standins.platform.chain_platform import ChainPlatform
 
 KEY = "key"
-LONGEST_WALK = 40
+MAX_STEPS = 40
 VERDICTS = {
     "granted": ClaimVerdict.GRANTED,
     "answered": ClaimVerdict.ANSWERED,
@@ -22,21 +22,21 @@
 }
 
 
-class RealShards:
-    """The steps of the specification, taken by the core's shards."""
+class CoreShards:
+    """Replay steps of the specification with the core's ``ClaimChain``."""
 
     def __init__(self):
         self.platform = ChainPlatform(shard="claims/0")
         self.homes = [ClaimChain(shard="claims/0") for _ in range(2)]
         self.writes = [None, None]
-        self.late = [None, None]
+        self.late_writes = [None, None]
         self.verdict = None
 
-    def take(self, label):
-        name, *words = label.split()
-        getattr(self, f"_{name}")(*words)
+    def replay(self, label):
+        name, *arguments = label.split()
+        getattr(self, f"_{name}")(*arguments)
 
-    def _ask(self, holder):
+    def _submit(self, holder):
         pass
 
     def _give_up(self, holder):
@@ -49,38 +49,40 @@
         self.homes[int(home)].load(self.platform.read())
 
     def _decide(self, holder, home):
-        ask = ClaimAttempt(KEY, holder, "digest")
-        self.verdict = self.homes[int(home)].decide(ask).verdict
+        claim = ClaimAttempt(KEY, holder, "digest")
+        self.verdict = self.homes[int(home)].decide(claim).verdict
 
-    def _prepare_write(self, kind, holder, home):
-        asks = [ClaimAttempt(KEY, holder, "digest")] if kind == "claim" else []
+    def _next_write(self, kind, holder, home):
+        claims = [ClaimAttempt(KEY, holder, "digest")] if kind == "claim" else []
         answer = StoredAnswer(200, "text/plain", b"") if kind == "ran" else None
         reports = [ClaimReport(KEY, holder, kind == "ran", answer)] * (kind != "claim")
-        write = self.homes[int(home)].next_write(asks, reports, wall_ms=1)
+        write = self.homes[int(home)].next_write(claims, reports, wall_ms=1)
         self.writes[int(home)] = write
 
-    def _written(self, home):
+    def _record_written(self, home):
         write, self.writes[int(home)] = self.writes[int(home)], None
         version = self.platform.land(write)
-        assert version, "the platform refused what the specification let land"
+        assert version, "the platform refused a write that the specification applies"
         self.homes[int(home)].record_written(write, version=version)
 
-    def _distrust(self, home):
+    def _mark_stale(self, home):
         write, self.writes[int(home)] = self.writes[int(home)], None
         version = self.platform.land(write)
-        assert version is None, "the platform took what the specification refuses"
+        assert version is None, (
+            "the platform applied a write that the specification refuses"
+        )
         self.homes[int(home)].mark_stale()
 
     def _lose_reply(self, home):
-        self.late[int(home)] = self.writes[int(home)]
+        self.late_writes[int(home)] = self.writes[int(home)]
         self.writes[int(home)] = None
         self.homes[int(home)].mark_stale()
 
-    def _drop_late(self, home):
-        self.late[int(home)] = None
+    def _drop_late_write(self, home):
+        self.late_writes[int(home)] = None
 
-    def _land_late(self, home):
-        write, self.late[int(home)] = self.late[int(home)], None
+    def _apply_late_write(self, home):
+        write, self.late_writes[int(home)] = self.late_writes[int(home)], None
         assert self.platform.land(write)
 
     def record(self):
@@ -88,7 +90,7 @@
         records = {} if stored.segment is None else stored.segment.records
         record = records.get(KEY)
         if record is None or record.state is ClaimState.FREE:
-            return claims_spec.Record(stored.version, claims_spec.NOBODY, False)
+            return claims_spec.Record(stored.version, claims_spec.NO_HOLDER, False)
         finished = record.state is ClaimState.FINISHED
         return claims_spec.Record(stored.version, record.holder, finished)
 
@@ -101,7 +103,7 @@
         rng = Random(seed)
         state = claims_spec.INITIAL
         walk = []
-        for _ in range(LONGEST_WALK):
+        for _ in range(MAX_STEPS):
             options = list(claims_spec.steps(state, guards))
             if not options:
                 break
@@ -110,25 +112,27 @@
         context.walks.append(walk)
 
 
-@then("the real shards take the same steps to the same records and verdicts")
+@then("the core's shards reach the same records and verdicts at every step")
 def check_walks(context):
-    context.taken = Counter()
+    context.replayed = Counter()
     for walk in context.walks:
-        real = RealShards()
+        core = CoreShards()
         for label, state in walk:
-            real.take(label)
-            context.taken[label.split()[0]] += 1
-            assert real.record() == state.stored, (label, real.record(), state.stored)
+            core.replay(label)
+            context.replayed[label.split()[0]] += 1
+            assert core.record() == state.stored, (label, core.record(), state.stored)
             if label.startswith("decide"):
                 index = claims_spec.HOLDERS.index(label.split()[1])
-                assert real.verdict is VERDICTS[state.phases[index]], label
+                assert core.verdict is VERDICTS[state.phases[index]], label
 
 
-@then("every kind of step was taken")
-def check_kinds(context):
-    names = "ask give_up run load decide prepare_write written distrust lose_reply"
-    expected = {*names.split(), "drop_late", "land_late"}
-    assert set(context.taken) == expected, context.taken
+@then("every kind of step was replayed")
+def check_all_steps(context):
+    names = (
+        "submit give_up run load decide next_write record_written mark_stale lose_reply"
+    )
+    expected = {*names.split(), "drop_late_write", "apply_late_write"}
+    assert set(context.replayed) == expected, context.replayed
 
 
 @given('the counterexample of "{mutation}"')
@@ -137,15 +141,15 @@
     assert context.trace
 
 
-@then("the real shard refuses the write that the specification let land")
+@then("the core's shard refuses the write that the mutated specification applies")
 def check_counterexample(context):
-    real = RealShards()
+    core = CoreShards()
     refused = []
     for label in context.trace:
         try:
-            real.take(label)
+            core.replay(label)
         except AssertionError as error:
             refused.append((label, str(error)))
             break
-    assert refused, "the real shards followed the counterexample to its end"
-    assert refused[0][0].startswith("written"), refused
+    assert refused, "the core's shards accepted the whole counterexample"
+    assert refused[0][0].startswith("record_written"), refused
