--- a/packages/clementineyoke-standins/src/clementineyoke_standins/model/cold_grants_spec.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/model/cold_grants_spec.py
@@ -39,6 +39,7 @@
     space_evenly: bool = True
     require_home_grant: bool = True
     pace_final_requests: bool = True
+    """Whether the last request of a slot search is subject to the interval, too."""
 
 
 INITIAL = State()
