--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
@@ -94,11 +94,11 @@
     """Listen on a socket and respond to each call with the next item of the script."""
 
     def __init__(
-        self, *, runner_id: str, zone: str = "zone", usual: Act = Act.OK
+        self, *, runner_id: str, zone: str = "zone", fallback_response: Act = Act.OK
     ) -> None:
         self.runner_id = runner_id
         self.zone = zone
-        self.usual = usual
+        self.usual = fallback_response
         self.script: list[Act] = []
         self.answers_by_path: dict[str, Act] = {}
         """Default responses by prefix of the request target."""
@@ -122,7 +122,7 @@
         """Whether the runner refuses all calls regardless of its script."""
         self.retry_after_s = 0.0
         """``Retry-After`` of refusals; 0 for none."""
-        self.ends_s: list[float] = []
+        self.crash_times_s: list[float] = []
         """Monotonic crash time of each lifetime."""
         self.on_crash: Callable[[EdgeRunner], None] = lambda _: None
         """Called after a crash; may restart the runner."""
@@ -148,13 +148,13 @@
     @property
     def crashes(self) -> int:
         """Number of crashes so far."""
-        return len(self.ends_s)
+        return len(self.crash_times_s)
 
     def crash(self) -> None:
         """Stop listening and reset all connections."""
         if self._server is None:
             return
-        self.ends_s.append(time.monotonic())
+        self.crash_times_s.append(time.monotonic())
         self._server.close()
         self._server = None
         for writer in list(self._writers):
@@ -239,9 +239,9 @@
     def _next_response(self, target: str) -> Act:
         if self.is_shedding:
             return Act.REFUSE
-        return self.script.pop(0) if self.script else self._default_response(target)
+        return self.script.pop(0) if self.script else self._usual_response(target)
 
-    def _default_response(self, target: str) -> Act:
+    def _usual_response(self, target: str) -> Act:
         for prefix, response in self.answers_by_path.items():
             if target.startswith(prefix):
                 return response
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/schedule.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/schedule.py
@@ -28,7 +28,7 @@
     ALL_KILL = "all_kill"
     HUP = "hup"
     SETTINGS_TORN = "settings_torn"
-    """The settings file is truncated when the node is told to reload it."""
+    """The settings file is truncated while the node reloads it."""
     STORE_LINK = "store_link"
     """The path from one node to the store fails."""
     STORE_AWAY = "store_away"
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
@@ -274,7 +274,7 @@
             overload_crashes={
                 r.runner_id: r.overload_crashes for r in self._fleet.runners
             },
-            crash_times_s={r.runner_id: r.ends_s for r in self._fleet.runners},
+            crash_times_s={r.runner_id: r.crash_times_s for r in self._fleet.runners},
             undisturbed=self._spans_without(NON_DISRUPTIVE, began_s),
             planned_work_only=self._spans_without(PLANNED_WORK, began_s),
             interruptions=self._interruptions,
