--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/audit.py
@@ -172,7 +172,7 @@
 def _has_crashed(
     evidence: Evidence, observation: RunnerObservation, until_s: float
 ) -> bool:
-    """Return whether the lifetime that received a call had crashed by then."""
+    """Return whether the lifetime that received a call has crashed by ``until_s``."""
     crashes_s = evidence.crash_times_s[observation.runner_id]
     return (
         observation.lifetime < len(crashes_s)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_acts.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_acts.py
@@ -46,8 +46,8 @@
     StoreFault.SILENT,
 )
 MAX_SKEW_S = 30
-STORM_VERSIONS = 12
-STORM_INTERVAL_S = 0.05
+RAPID_STATE_VERSIONS = 12
+RAPID_STATE_INTERVAL_S = 0.05
 TRUNCATED_FRACTION = 0.6
 CRASHING_ROUTE_KINDS = (RouteKind.NON_IDEMPOTENT, RouteKind.STREAM)
 CRASHING_INTERVAL_S = 0.3
@@ -94,8 +94,8 @@
             FaultKind.RUNNER_ANSWERS: self._inject_faulty_responses,
             FaultKind.RUNNER_LEAVES: self._remove_runner,
             FaultKind.KEY_CHANGE: self._change_key,
-            FaultKind.STATE_STORM: self._write_many_states,
-            FaultKind.CRASHING_REQUEST: self._send_crashing,
+            FaultKind.STATE_STORM: self._write_states_rapidly,
+            FaultKind.CRASHING_REQUEST: self._send_crashing_requests,
             FaultKind.ZONE_EMPTIED: self._evacuate_zone,
             FaultKind.RUNNER_COLD: self._start_cold_phase,
             FaultKind.RUNNER_SHEDS: self._shed_calls,
@@ -222,10 +222,10 @@
         async with self._lock:
             await self._fleet.state.change_key()
 
-    async def _write_many_states(self, fault: PlannedFault) -> None:
+    async def _write_states_rapidly(self, fault: PlannedFault) -> None:
         async with self._lock:
             await self._fleet.state.write_versions(
-                STORM_VERSIONS, interval_s=STORM_INTERVAL_S
+                RAPID_STATE_VERSIONS, interval_s=RAPID_STATE_INTERVAL_S
             )
 
     async def _evacuate_zone(self, fault: PlannedFault) -> None:
@@ -261,7 +261,7 @@
                 available_since_s = time.monotonic()
             await asyncio.sleep(STORE_POLL_INTERVAL_S)
 
-    async def _send_crashing(self, fault: PlannedFault) -> None:
+    async def _send_crashing_requests(self, fault: PlannedFault) -> None:
         """Send a request that crashes its runners to random nodes again and again."""
         end_s = time.monotonic() + fault.duration_s
         kind = CRASHING_ROUTE_KINDS[fault.selector % len(CRASHING_ROUTE_KINDS)]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
@@ -123,7 +123,7 @@
             await self._wait_until_serving(session, START_TIMEOUT_S)
             for runner in self._fleet.runners:
                 runner.answers_by_path = {"/streaming/": Act.STREAM}
-            began_s = time.monotonic()
+            run_start_s = time.monotonic()
             async with BackgroundTasks() as tasks:
                 for caller in self._callers:
                     tasks.spawn(caller.run(), name="soak_caller")
@@ -135,11 +135,9 @@
                 if self._has_runner_signals:
                     planned += plan_runner_signals(self._seed, length_s=self._length_s)
                 await asyncio.gather(
-                    *(self._inject(fault, began_s) for fault in planned)
-                )
-                recovered_s = await self._wait_until_serving(
-                    session, RECOVERY_TIMEOUT_S
+                    *(self._inject(fault, run_start_s) for fault in planned)
                 )
+                recovery_s = await self._wait_until_serving(session, RECOVERY_TIMEOUT_S)
                 await self._apply_changes_undisturbed()
                 await self._check_withdrawn_keys(session)
                 if self._has_crashes:
@@ -147,10 +145,10 @@
             for node in self._fleet.nodes:
                 await node.stop(timeout_s=self._stop_timeout_s)
                 self._violations += node.failures
-        return self._report(planned, began_s, recovered_s)
+        return self._report(planned, run_start_s, recovery_s)
 
-    async def _inject(self, fault: PlannedFault, began_s: float) -> None:
-        await asyncio.sleep(max(0.0, began_s + fault.start_s - time.monotonic()))
+    async def _inject(self, fault: PlannedFault, run_start_s: float) -> None:
+        await asyncio.sleep(max(0.0, run_start_s + fault.start_s - time.monotonic()))
         start_s = time.monotonic()
         for node in self._fleet.nodes:
             node.record_unexpected_exit()
@@ -166,16 +164,16 @@
         self, session: aiohttp.ClientSession, timeout_s: float
     ) -> float:
         """Wait until each node serves a call and return the time that this took."""
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         for node in range(len(self._fleet.nodes)):
             while not await self._is_serving(session, node):
-                if time.monotonic() > began_s + timeout_s:
+                if time.monotonic() > start_s + timeout_s:
                     self._violations.append(
                         f"node-{node} serves no calls after {timeout_s} s"
                     )
                     break
                 await asyncio.sleep(POLL_INTERVAL_S)
-        return time.monotonic() - began_s
+        return time.monotonic() - start_s
 
     async def _is_serving(self, session: aiohttp.ClientSession, node: int) -> bool:
         key = self._fleet.state.current_key
@@ -241,7 +239,7 @@
         return sum(runner.crashes for runner in self._fleet.runners)
 
     def _report(
-        self, planned: list[PlannedFault], began_s: float, recovered_s: float
+        self, planned: list[PlannedFault], run_start_s: float, recovery_s: float
     ) -> SoakReport:
         calls = [record for caller in self._callers for record in caller.records]
         calls += self._probe.records
@@ -275,8 +273,8 @@
                 r.runner_id: r.overload_crashes for r in self._fleet.runners
             },
             crash_times_s={r.runner_id: r.crash_times_s for r in self._fleet.runners},
-            undisturbed=self._spans_without(NON_DISRUPTIVE, began_s),
-            planned_work_only=self._spans_without(PLANNED_WORK, began_s),
+            undisturbed=self._spans_without(NON_DISRUPTIVE, run_start_s),
+            planned_work_only=self._spans_without(PLANNED_WORK, run_start_s),
             interruptions=self._interruptions,
             runner_link_faults=[
                 span for kind, span in self._injected if kind is FaultKind.RUNNER_LINK
@@ -288,16 +286,16 @@
             calls=len(calls),
             served=sum(record.status == STATUS_OK for record in calls),
             faults=[fault.kind.value for fault in planned],
-            recovered_s=recovered_s,
+            recovered_s=recovery_s,
             broken=self._violations,
         )
 
     def _spans_without(
-        self, allowed: frozenset[FaultKind], began_s: float
+        self, allowed: frozenset[FaultKind], run_start_s: float
     ) -> list[Span]:
         """Return the periods in which only faults of the allowed kinds were active."""
         spans = []
-        free_since_s = began_s
+        free_since_s = run_start_s
         for span in sorted(
             span for kind, span in self._injected if kind not in allowed
         ):
