--- a/packages/clementineyoke-standins/src/clementineyoke_standins/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the outside systems, and tools that prove the product; not shipped."""
+"""Fakes of external systems and verification tools; not shipped with the product."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/__init__.py
@@ -1,3 +1,3 @@
-"""The bench: decision code on seeded workloads in virtual time."""
+"""Benchmark of the routing decisions, mostly on seeded workloads in virtual time."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/bench_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/bench_case.py
@@ -1,4 +1,4 @@
-"""One figure of the bench, as ``build/bench.json`` holds it."""
+"""One benchmark result, as written to ``build/bench.json``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BenchCase(NamedTuple):
-    """A measured value beside its baseline and its committed bound."""
+    """A measured value with its baseline and its committed bound."""
 
     name: str
     metric: str
@@ -19,7 +19,7 @@
 
     @property
     def is_within_bound(self) -> bool:
-        """Whether the value is no worse than its bound."""
+        """Whether the value is at least as good as its bound, or has no bound."""
         if self.bound is None:
             return True
         if self.higher_is_better:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/fleet_size.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/fleet_size.py
@@ -1,4 +1,4 @@
-"""How large the fleet of a case is."""
+"""Sizes of the simulated fleets."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class FleetSize(NamedTuple):
-    """Nodes and the runners of one model pool."""
+    """Number of nodes, and the runners of one model pool."""
 
     name: str
     nodes: int
     runners: int
     slots: int
     cache_chats: int
-    """Chats whose context a runner can hold."""
+    """Chats whose context fits into the cache of a runner."""
     pools: int
-    """Pools that the nodes serve; a run is of one of them."""
+    """Pools that the nodes serve; one of them is simulated."""
 
 
 TODAY = FleetSize("today", nodes=9, runners=6, slots=32, cache_chats=150, pools=2)
 SLICE = FleetSize("slice", nodes=137, runners=146, slots=64, cache_chats=150, pools=8)
-"""One of the eight models of a region at the design size."""
+"""One of the eight model pools of a region at the design size."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/memory_object_api.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/memory_object_api.py
@@ -1,4 +1,4 @@
-"""An object API in this process, with a delay and lost replies, for tests and bench."""
+"""In-process object API with a delay and injected faults, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -15,25 +15,30 @@
 
 
 class MemoryObjectApi:
-    """The stand-in store behind the ``ObjectApi`` protocol."""
+    """In-memory implementation of the ``ObjectApi`` protocol."""
 
     def __init__(self, *, delay_ms: float = 0.0) -> None:
         self.store = ObjectStore()
         self.delay_ms = delay_ms
         self.lost_replies = 0
-        """So many next writes take effect and then raise."""
+        """Number of next writes that take effect and then raise ``PlatformError``."""
         self.is_away = False
         self.writes = 0
         self.calls = 0
 
     async def read(self, name: str) -> StoredObject | None:
-        """Return an object, or None."""
+        """Return the object, or None if it does not exist."""
         await self._wait()
-        held = self.store.read(name)
-        return None if held is None else StoredObject(name, held.version, held.body)
+        stored = self.store.read(name)
+        return (
+            None if stored is None else StoredObject(name, stored.version, stored.body)
+        )
 
     async def write(self, name: str, body: bytes, *, expected_version: int) -> int:
-        """Write if the version is as expected."""
+        """Write the object and return its new version.
+
+        Raises ``VersionConflictError`` if the stored version is not the expected one.
+        """
         await self._wait()
         self.writes += 1
         version = await self.store.write(name, body, expected_version=expected_version)
@@ -45,19 +50,23 @@
         return version
 
     async def list_after(self, prefix: str, after: str) -> list[StoredObject]:
-        """Return a page of objects."""
+        """Return a page of the objects under a prefix, with names after ``after``."""
         await self._wait()
-        found = self.store.list_after(prefix, after)
-        return [StoredObject(name, held.version, held.body) for name, held in found]
+        page = self.store.list_after(prefix, after)
+        return [
+            StoredObject(name, stored.version, stored.body) for name, stored in page
+        ]
 
     async def watch(self, prefix: str, *, after_revision: int) -> WatchResult:
-        """Wait for a change."""
+        """Wait for objects under a prefix newer than a revision, and return them."""
         async with self.store.changed:
             await self.store.changed.wait_for(
                 lambda: bool(self.store.written_after(prefix, after_revision))
             )
-        found = self.store.written_after(prefix, after_revision)
-        objects = [StoredObject(name, held.version, held.body) for name, held in found]
+        page = self.store.written_after(prefix, after_revision)
+        objects = [
+            StoredObject(name, stored.version, stored.body) for name, stored in page
+        ]
         return WatchResult(self.store.revision, objects)
 
     async def _wait(self) -> None:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/overhead_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/overhead_case.py
@@ -1,4 +1,4 @@
-"""What a node adds to a direct call, and how many short requests a core carries."""
+"""Measures the latency that a node adds to a call, and requests per CPU core."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 if TYPE_CHECKING:
     from clementineyoke_wire.bodies import HostBody
 
-MODEST_RATE_PER_S = 50
-MODEST_CALLS = 400
+STEADY_RATE_PER_S = 50
+STEADY_CALLS = 400
 BURST_CALLS = 3_000
 BURST_WORKERS = 24
 P95 = 0.95
 TEAM = LEAGUE.teams[0]
 
 
-class Way(NamedTuple):
-    """A way to the engine: direct or through a node."""
+class Endpoint(NamedTuple):
+    """URL and headers of calls to the engine, directly or through a node."""
 
     url: str
     headers: dict[str, str]
 
 
 def measure_overhead(bounds: dict[str, float], *, seed: int) -> list[BenchCase]:
-    """Return p95 ratio, added milliseconds and requests a second of node's core."""
+    """Return the p95 ratio and difference to direct calls, and requests per core."""
     return asyncio.run(_measure(bounds, seed))
 
 
@@ -49,10 +49,10 @@
         await fleet.start_node(node)
         await fleet.wait_answering(f"{admin_url(node)}/health")
         edits = read_settings_file(LEAGUE.settings_file)
-        fast = {"rate_per_s": 100_000, "burst_requests": 100_000}
+        unlimited = {"rate_per_s": 100_000, "burst_requests": 100_000}
         for path, values in edits.items():
             if values is not None and path.count("/") == 2:
-                edits[path] = {**values, **fast}
+                edits[path] = {**values, **unlimited}
         await operator_client(admin_url(node)).change_settings(whole_change(edits))
         await fleet.wait_answering(f"{admin_url(node)}/ready")
         return await _compare(fleet, node, bounds, seed)
@@ -62,27 +62,28 @@
     fleet: FleetProcesses, node: HostBody, bounds: dict[str, float], seed: int
 ) -> list[BenchCase]:
     key = f"{LEAGUE.group}/{TEAM}/demo-key-{TEAM}"
-    direct = Way(runner_url(fleet.runners[0]), {headers.REQUEST_ID: "direct"})
-    routed = Way(caller_url(node), {"Authorization": f"Bearer {key}"})
+    direct = Endpoint(runner_url(fleet.runners[0]), {headers.REQUEST_ID: "direct"})
+    routed = Endpoint(caller_url(node), {"Authorization": f"Bearer {key}"})
     async with aiohttp.ClientSession() as session:
-        for way in (direct, routed):
-            await _modest(session, way)
-        direct_ms = await _modest(session, direct)
-        routed_ms = await _modest(session, routed)
+        for endpoint in (direct, routed):
+            # Warm-up, not measured.
+            await _measure_p95_ms(session, endpoint)
+        direct_ms = await _measure_p95_ms(session, direct)
+        routed_ms = await _measure_p95_ms(session, routed)
         before_s = fleet.cpu_s(node["host"])
-        began_s = time.monotonic()
-        await _burst(session, routed)
-        elapsed_s = time.monotonic() - began_s
+        started_s = time.monotonic()
+        await _send_burst(session, routed)
+        elapsed_s = time.monotonic() - started_s
         cpu_s = fleet.cpu_s(node["host"]) - before_s
-    figures = (
+    metrics = (
         ("overhead.ratio_p95", "p95 through a node over direct", routed_ms / direct_ms),
         ("overhead.added_ms_p95", "milliseconds", routed_ms - direct_ms),
         ("overhead.cpu_ms_per_request", "ms of a core", cpu_s / BURST_CALLS * 1000),
     )
-    scale = f"1 node, {MODEST_RATE_PER_S}/s; burst {BURST_CALLS / elapsed_s:.0f}/s"
+    scale = f"1 node, {STEADY_RATE_PER_S}/s; burst {BURST_CALLS / elapsed_s:.0f}/s"
     cases = [
         BenchCase(name, metric, value, None, bounds.get(name), False, seed, scale)
-        for name, metric, value in figures
+        for name, metric, value in metrics
     ]
     name = "overhead.requests_per_core_s"
     per_core = BURST_CALLS / cpu_s
@@ -92,27 +93,29 @@
     return cases
 
 
-async def _modest(session: aiohttp.ClientSession, way: Way) -> float:
-    """Return the p95 of calls at a modest rate, in milliseconds."""
+async def _measure_p95_ms(session: aiohttp.ClientSession, endpoint: Endpoint) -> float:
+    """Return the p95 latency of calls at a constant moderate rate, in milliseconds."""
     tasks = []
-    for number in range(MODEST_CALLS):
-        tasks.append(asyncio.create_task(_call(session, way, number)))
-        await asyncio.sleep(1 / MODEST_RATE_PER_S)
+    for number in range(STEADY_CALLS):
+        tasks.append(asyncio.create_task(_call(session, endpoint, number)))
+        await asyncio.sleep(1 / STEADY_RATE_PER_S)
     elapsed_ms = sorted(await asyncio.gather(*tasks))
     return elapsed_ms[int(P95 * len(elapsed_ms))]
 
 
-async def _burst(session: aiohttp.ClientSession, way: Way) -> None:
+async def _send_burst(session: aiohttp.ClientSession, endpoint: Endpoint) -> None:
     numbers = iter(range(BURST_CALLS))
 
-    async def work() -> None:
+    async def send_calls() -> None:
         for number in numbers:
-            await _call(session, way, number)
+            await _call(session, endpoint, number)
 
-    await asyncio.gather(*(work() for _ in range(BURST_WORKERS)))
+    await asyncio.gather(*(send_calls() for _ in range(BURST_WORKERS)))
 
 
-async def _call(session: aiohttp.ClientSession, way: Way, number: int) -> float:
+async def _call(
+    session: aiohttp.ClientSession, endpoint: Endpoint, number: int
+) -> float:
     body: dict[str, Any] = {
         "model": LEAGUE.model,
         "stream": True,
@@ -120,11 +123,13 @@
         "user": f"chat-{number % 50}",
         "messages": [{"role": "user", "content": "flag"}],
     }
-    sent = {**way.headers, headers.CHAT_ID: f"chat-{number % 50}"}
-    began_s = time.monotonic()
-    url = f"{way.url}/v1/chat/completions"
-    async with session.post(url, data=json.dumps(body), headers=sent) as answer:
-        text = await answer.read()
+    request_headers = {**endpoint.headers, headers.CHAT_ID: f"chat-{number % 50}"}
+    started_s = time.monotonic()
+    url = f"{endpoint.url}/v1/chat/completions"
+    async with session.post(
+        url, data=json.dumps(body), headers=request_headers
+    ) as response:
+        text = await response.read()
     if b"[DONE]" not in text:
-        sys.exit(f"the overhead case met an answer that is not whole: {text!r}")
-    return (time.monotonic() - began_s) * 1000
+        sys.exit(f"overhead benchmark: stream ended without [DONE]: {text!r}")
+    return (time.monotonic() - started_s) * 1000
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
@@ -1,7 +1,7 @@
-"""Two ideas of the paper switched off and on: quarantine, and the runner's own word.
+"""Measures the effect of quarantine and of drain reports from runners.
 
-Source: "Why Kubernetes Serving Breaks Down for Real-Time AI", sections 1 and 2. Other
-ideas of it that are in use are proved by scenarios, not measured here.
+Both come from "Why Kubernetes Serving Breaks Down for Real-Time AI", sections 1 and 2.
+Other ideas from that paper are covered by test scenarios and not measured here.
 """
 
 from __future__ import annotations
@@ -17,69 +17,69 @@
 
 RUNNERS = 6
 RATE_PER_S = 24.0
-SECONDS = 30.0
+DURATION_S = 30.0
 CONNECT_TIMEOUT_MS = 1_000.0
-"""What a call to a host that is gone costs before the next runner is tried."""
-PROBE_EVERY_MS = 250.0
-LIST_LAG_MS = 5_000.0
-"""How long the host list still shows the runner live."""
+"""Delay until a call to a host that is down fails and the next runner is tried."""
+PROBE_INTERVAL_MS = 250.0
+HOST_LIST_LAG_MS = 5_000.0
+"""How long the host list still shows a draining runner as live."""
 POOL = "model"
 REGION = "region"
 
 
 class TableWithoutQuarantine(RunnerTable):
-    """Take no note of transport failures."""
+    """Runner table that ignores transport failures."""
 
     def record_transport_failure(self, runner_id: str, *, now_ms: float) -> None:
-        """Do nothing."""
+        """Ignore the failure."""
 
 
-class TableWithoutOwnWord(RunnerTable):
-    """Take no note of what a runner says of itself."""
+class TableWithoutDrainReports(RunnerTable):
+    """Runner table that ignores drain reports from runners."""
 
     def record_draining(self, runner_id: str, *, now_ms: float) -> None:
-        """Do nothing."""
+        """Ignore the report."""
 
 
 def measure_paper_ideas(bounds: dict[str, float], *, seed: int) -> list[BenchCase]:
-    """Return each idea's figure, with the one without it as baseline."""
+    """Return the result with each feature; the baseline is the result without it."""
     delayed = "paper.quarantine.delayed_share"
     refused = "paper.own_word.refused_share"
-    pairs = (
+    comparisons = (
         (
             delayed,
             "share of requests that waited for a dead runner",
-            _play_dead(RunnerTable(), seed),
-            _play_dead(TableWithoutQuarantine(), seed),
+            _simulate_dead_runner(RunnerTable(), seed),
+            _simulate_dead_runner(TableWithoutQuarantine(), seed),
         ),
         (
             refused,
             "share of requests sent to a draining runner",
-            _play_draining(RunnerTable(), seed),
-            _play_draining(TableWithoutOwnWord(), seed),
+            _simulate_draining_runner(RunnerTable(), seed),
+            _simulate_draining_runner(TableWithoutDrainReports(), seed),
         ),
     )
-    scale = f"{RUNNERS} runners, {RATE_PER_S:g} requests a second, {SECONDS:g} s"
+    scale = f"{RUNNERS} runners, {RATE_PER_S:g} requests a second, {DURATION_S:g} s"
     return [
         BenchCase(name, metric, on, off, bounds.get(name), False, seed, scale)
-        for name, metric, on, off in pairs
+        for name, metric, on, off in comparisons
     ]
 
 
-def _play_dead(table: RunnerTable, seed: int) -> float:
-    """Let one runner be gone for the whole run, while the list shows it live."""
+def _simulate_dead_runner(table: RunnerTable, seed: int) -> float:
+    """Return the share of requests delayed by a dead runner that is listed as live."""
     rings, runners = _make_rings(table)
     dead = runners[0].runner_id
     failures: list[float] = []
     probes: list[float] = []
     next_probe_ms = 0.0
-    keys = _arrivals(seed)
+    arrivals = _make_arrivals(seed)
     delayed = 0
-    for at_ms, key in keys:
+    for at_ms, key in arrivals:
         while next_probe_ms <= at_ms:
             if not probes and table.due_for_probe(now_ms=next_probe_ms):
                 heapq.heappush(probes, next_probe_ms + CONNECT_TIMEOUT_MS)
-            next_probe_ms += PROBE_EVERY_MS
+            next_probe_ms += PROBE_INTERVAL_MS
         while probes and probes[0] <= at_ms:
             table.record_probe(dead, ready=False, now_ms=heapq.heappop(probes))
         while failures and failures[0] <= at_ms:
@@ -87,24 +87,27 @@
         if next(rings.order(POOL, key)) == dead:
             delayed += 1
             heapq.heappush(failures, at_ms + CONNECT_TIMEOUT_MS)
-    return delayed / len(keys)
+    return delayed / len(arrivals)
 
 
-def _play_draining(table: RunnerTable, seed: int) -> float:
-    """Let one runner drain from the start; the list says so only after its lag."""
+def _simulate_draining_runner(table: RunnerTable, seed: int) -> float:
+    """Return the share of requests sent to a draining runner.
+
+    It drains from the start, and the host list shows this only after its lag.
+    """
     rings, runners = _make_rings(table)
     leaving = runners[0]
-    keys = _arrivals(seed)
+    arrivals = _make_arrivals(seed)
     refused = 0
     is_listed = False
-    for at_ms, key in keys:
-        if at_ms >= LIST_LAG_MS and not is_listed:
+    for at_ms, key in arrivals:
+        if at_ms >= HOST_LIST_LAG_MS and not is_listed:
             is_listed = True
             table.apply_host_list(live=runners[1:], leaving=[leaving], now_ms=at_ms)
         if next(rings.order(POOL, key)) == leaving.runner_id:
             refused += 1
             table.record_draining(leaving.runner_id, now_ms=at_ms)
-    return refused / len(keys)
+    return refused / len(arrivals)
 
 
 def _make_rings(table: RunnerTable) -> tuple[PoolRings, list[Runner]]:
@@ -118,11 +121,11 @@
     return rings, runners
 
 
-def _arrivals(seed: int) -> list[tuple[float, int]]:
+def _make_arrivals(seed: int) -> list[tuple[float, int]]:
     rng = Random(seed)
     arrivals: list[tuple[float, int]] = []
     at_ms = 0.0
-    while at_ms < SECONDS * 1000:
+    while at_ms < DURATION_S * 1000:
         at_ms += rng.expovariate(RATE_PER_S) * 1000
         chat = f"chat-{rng.randrange(200)}"
         key = chat_key(team="team", model=POOL, chat_id=chat, prompt="")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/__init__.py
@@ -1,3 +1,3 @@
-"""One small class for each way of choosing a runner."""
+"""Policies for choosing a runner, one class each."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/baselines.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/baselines.py
@@ -1,4 +1,4 @@
-"""The baselines: each sees only what its kind of router would see."""
+"""Baseline policies; each uses only data that a router of its kind would have."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Baseline:
-    """What the baselines share: a list of runners and nothing to keep."""
+    """Base class with a list of runners and no state per request."""
 
     def __init__(self, *, world: World, rng: Random) -> None:
         self._world = world
@@ -26,23 +26,23 @@
         self._ring.set_members(self._runner_ids)
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return the runner for a request; each baseline says how."""
+        """Return the runner for a request; implemented by subclasses."""
         raise NotImplementedError
 
-    def finish(self, runner_id: str, hold: int, *, now_ms: float) -> None:
-        """Keep nothing."""
+    def finish(self, runner_id: str, request_number: int, *, now_ms: float) -> None:
+        """Do nothing, since baselines keep no state per request."""
 
     def tick(self, *, now_ms: float) -> None:
-        """Do nothing."""
+        """Do nothing, since baselines have no periodic work."""
 
     def replace_runners(self, runner_ids: list[str]) -> None:
-        """Take a new set of runners."""
+        """Replace the set of runners."""
         self._runner_ids = list(runner_ids)
         self._ring.set_members(runner_ids)
 
 
 class RoundRobin(Baseline):
-    """Each runner in turn."""
+    """Chooses the runners in turn."""
 
     _next = 0
 
@@ -53,11 +53,11 @@
 
 
 class LeastReported(Baseline):
-    """The runner with the least reported load."""
+    """Chooses the runner with the lowest reported load."""
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return it; ties go to any."""
-        reported = self._world.reported(now_ms)
+        """Return the least loaded runner by report; ties are broken at random."""
+        reported = self._world.reported_loads(now_ms)
         runner_id = min(
             self._runner_ids, key=lambda r: (reported.get(r, 0), self._rng.random())
         )
@@ -65,29 +65,31 @@
 
 
 class TwoChoices(Baseline):
-    """The less reported of two at random."""
+    """Chooses the runner with the lower reported load of two drawn at random."""
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return it."""
-        reported = self._world.reported(now_ms)
-        pair = self._rng.sample(self._runner_ids, 2)
-        return Choice(min(pair, key=lambda r: reported.get(r, 0)))
+        """Return the less loaded of two random runners."""
+        reported = self._world.reported_loads(now_ms)
+        candidates = self._rng.sample(self._runner_ids, 2)
+        return Choice(min(candidates, key=lambda r: reported.get(r, 0)))
 
 
 class PlainHash(Baseline):
-    """Consistent hashing without a bound."""
+    """Consistent hashing without a load bound."""
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return the key's owner."""
+        """Return the first runner on the ring for the key."""
         return Choice(self._ring.first(request.key))
 
 
 class StaleBounded(Baseline):
-    """Consistent hashing with bounded loads, on reported loads."""
+    """Consistent hashing with bounded loads, based on reported loads."""
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return the first runner of the order under the bound as reported."""
-        return Choice(self._first_under_bound(request, self._world.reported(now_ms)))
+        """Return the first runner in ring order whose report is under the bound."""
+        return Choice(
+            self._first_under_bound(request, self._world.reported_loads(now_ms))
+        )
 
     def _first_under_bound(self, request: Request, loads: dict[str, int]) -> str | None:
         mean_load = sum(loads.values()) / max(1, len(loads))
@@ -101,24 +103,24 @@
 
 
 class Oracle(StaleBounded):
-    """Bounded loads with exact loads at no cost, and it knows where a chat was last."""
+    """Bounded loads with exact loads, and each chat's last runner is known."""
 
     def __init__(self, *, world: World, rng: Random) -> None:
         super().__init__(world=world, rng=rng)
-        self._last: dict[str, str] = {}
+        self._last_runner: dict[str, str] = {}
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
-        """Return the chat's last runner if it is under the bound, else the next."""
+        """Return the chat's last runner, or the next one if that is at the bound."""
         loads = self._world.loads
-        last = self._last.get(request.chat)
+        last_runner = self._last_runner.get(request.chat)
         bound = compute_load_bound(
             mean_load=self._world.mean_load(),
             slots=self._world.slots,
             factor=DEFAULT_LOAD_FACTOR,
         )
-        if last in loads and loads[last] < bound:
-            return Choice(last)
+        if last_runner in loads and loads[last_runner] < bound:
+            return Choice(last_runner)
         runner_id = self._first_under_bound(request, loads)
         if runner_id is not None:
-            self._last[request.chat] = runner_id
+            self._last_runner[request.chat] = runner_id
         return Choice(runner_id)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/policy.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/policy.py
@@ -1,4 +1,4 @@
-"""What every policy of the bench offers."""
+"""Interface of the benchmarked policies."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class Choice(NamedTuple):
-    """A runner, or None when the request is refused, and what finding it cost."""
+    """The chosen runner, or None if the request is refused."""
 
     runner_id: str | None
-    hold: int = 0
-    """The policy's own number for the request."""
+    request_number: int = 0
+    """Number by which the policy identifies the request."""
 
 
 class Policy(Protocol):
-    """Choose a runner for each request."""
+    """Chooses a runner for each request."""
 
     def choose(self, request: Request, *, now_ms: float) -> Choice:
         """Return the runner for a request."""
         ...
 
-    def finish(self, runner_id: str, hold: int, *, now_ms: float) -> None:
-        """Take note that a request has ended."""
+    def finish(self, runner_id: str, request_number: int, *, now_ms: float) -> None:
+        """Record the end of a request."""
         ...
 
     def tick(self, *, now_ms: float) -> None:
-        """Do periodic work, four times a second."""
+        """Run periodic work; called every ``TICK_MS`` of virtual time."""
         ...
 
     def replace_runners(self, runner_ids: list[str]) -> None:
-        """Take a new set of runners."""
+        """Replace the set of runners."""
         ...
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
@@ -1,4 +1,4 @@
-"""The cases that compare policies: skew, reuse, control bytes, decision time."""
+"""Benchmark cases that compare policies: skew, cache reuse, control traffic."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 )
 CHURN_SLICE = Shape("churn", 120, 90, 10_000, teams=1_500)
 CHURN_REPLACED = 15
-"""A tenth of the slice's runners, within the run instead of within an hour."""
+"""A tenth of the pool's runners, replaced within the run instead of within an hour."""
 
 
 class PolicyTable(NamedTuple):
-    """All policies' runs of one workload."""
+    """The runs of all policies on one workload."""
 
     size: FleetSize
     shape: Shape
@@ -57,8 +57,8 @@
 
 
 def run_tables(*, seed: int) -> list[PolicyTable]:
-    """Play every workload against every policy."""
-    plans = (
+    """Simulate every workload with every policy."""
+    scenarios = (
         (TODAY, EVENING, 0),
         (TODAY, FINALS_TODAY, 0),
         (SLICE, FINALS_SLICE, 0),
@@ -69,18 +69,18 @@
         PolicyTable(
             size, shape, run_policies(size, shape, seed=seed, replaced=replaced)
         )
-        for size, shape, replaced in plans
+        for size, shape, replaced in scenarios
     ]
 
 
 def to_cases(
     tables: list[PolicyTable], bounds: dict[str, float], *, seed: int
 ) -> list[BenchCase]:
-    """Return the cases that the tables give."""
+    """Return the benchmark cases computed from the tables."""
     cases: list[BenchCase] = []
     for table in tables:
         scale = f"{table.size.nodes} nodes, {table.size.runners} runners"
-        for name, metric, value, baseline, higher in _figures(table):
+        for name, metric, value, baseline, higher in _compute_metrics(table):
             bound = bounds.get(name)
             cases.append(
                 BenchCase(name, metric, value, baseline, bound, higher, seed, scale)
@@ -88,19 +88,19 @@
     return cases
 
 
-def _figures(table: PolicyTable) -> list[tuple[str, str, float, float, bool]]:
+def _compute_metrics(table: PolicyTable) -> list[tuple[str, str, float, float, bool]]:
     fleet = table.runs[FLEET]
-    oracle = table.runs["oracle"].measured
-    stale = table.runs["stale bounded"].measured
-    mine = fleet.measured
+    oracle = table.runs["oracle"].metrics
+    stale = table.runs["stale bounded"].metrics
+    fleet_metrics = fleet.metrics
     name = _case_name(table)
-    over = mine.grants_over_bound / mine.requests
+    over = fleet_metrics.grants_over_bound / fleet_metrics.requests
     stale_over = stale.grants_over_bound / stale.requests
-    figures = [
+    metrics = [
         (
             f"skew.{name}",
             "largest load less one slot over the mean, worst sample",
-            mine.worst_skew,
+            fleet_metrics.worst_skew,
             oracle.worst_skew,
             False,
         ),
@@ -108,15 +108,15 @@
         (
             f"worst_excess.{name}",
             "slots over the true bound",
-            float(mine.worst_excess),
+            float(fleet_metrics.worst_excess),
             float(stale.worst_excess),
             False,
         ),
-        (f"reuse.{name}", "share of returns", mine.reuse, oracle.reuse, True),
-        (f"refused.{name}", "requests", float(mine.refused), 0.0, False),
+        (f"reuse.{name}", "share of returns", fleet_metrics.reuse, oracle.reuse, True),
+        (f"refused.{name}", "requests", float(fleet_metrics.refused), 0.0, False),
     ]
     if name == "finals_night":
-        figures += [
+        metrics += [
             (
                 "control.bytes_per_second_per_node",
                 "bytes sent a second a node, slots and gossip of eight pools",
@@ -125,7 +125,7 @@
                 False,
             ),
         ]
-    return figures
+    return metrics
 
 
 def _case_name(table: PolicyTable) -> str:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_run.py
@@ -1,4 +1,4 @@
-"""Play one workload against every policy."""
+"""Simulates one workload with every policy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     StaleBounded,
     TwoChoices,
 )
-from clementineyoke_standins.bench.policies.fleet import Fleet
+from clementineyoke_standins.bench.policies.fleet import FleetPolicy
 from clementineyoke_standins.bench.simulation import Replacement, Simulation
 from clementineyoke_standins.bench.workload import generate
 from clementineyoke_standins.bench.world import World
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from clementineyoke_standins.bench.fleet_size import FleetSize
     from clementineyoke_standins.bench.policies.policy import Policy
-    from clementineyoke_standins.bench.simulation import Measured
+    from clementineyoke_standins.bench.simulation import SimulationMetrics
     from clementineyoke_standins.bench.workload import Shape
 
 WARM_UP_SHARE = 1 / 3
@@ -38,34 +38,34 @@
 
 
 class PolicyRun(NamedTuple):
-    """What one policy did with one workload."""
+    """Result of one policy on one workload."""
 
     policy: str
-    measured: Measured
+    metrics: SimulationMetrics
     control_bytes_per_s: float
-    """Sent by a node; 0 for baselines, whose reports come for nothing."""
+    """Sent by each node; 0 for baselines, whose load reports are not counted."""
     cpu_us: float
-    """Processor time of a decision; 0 for baselines."""
+    """CPU time per decision; 0 for baselines."""
 
 
 def run_policies(
     size: FleetSize, shape: Shape, *, seed: int, replaced: int = 0
 ) -> dict[str, PolicyRun]:
-    """Return each policy's run of a workload, by name."""
+    """Return each policy's run of a workload, by policy name."""
     requests = generate(shape, seed=seed)
     replacements = _plan_replacements(size, shape, replaced)
     runs: dict[str, PolicyRun] = {}
     for name in (*BASELINES, FLEET_NO_TOKEN, FLEET):
         world = _make_world(size)
         policy = _make_policy(name, world, size, seed)
-        measured = Simulation(
+        metrics = Simulation(
             world=world,
             policy=policy,
             requests=requests,
             warm_up_ms=shape.seconds * 1000 * WARM_UP_SHARE,
             replacements=replacements,
         ).run()
-        runs[name] = _describe(name, policy, measured, size, shape)
+        runs[name] = _make_run(name, policy, metrics, size, shape)
     return runs
 
 
@@ -81,18 +81,24 @@
     rng = Random(seed + 1)
     if name in BASELINES:
         return BASELINES[name](world=world, rng=rng)
-    return Fleet(world=world, rng=rng, nodes=size.nodes, remembers=name == FLEET)
+    return FleetPolicy(
+        world=world, rng=rng, nodes=size.nodes, uses_placement_tokens=name == FLEET
+    )
 
 
-def _describe(
-    name: str, policy: Policy, measured: Measured, size: FleetSize, shape: Shape
+def _make_run(
+    name: str,
+    policy: Policy,
+    metrics: SimulationMetrics,
+    size: FleetSize,
+    shape: Shape,
 ) -> PolicyRun:
-    if not isinstance(policy, Fleet):
-        return PolicyRun(name, measured, 0.0, 0.0)
+    if not isinstance(policy, FleetPolicy):
+        return PolicyRun(name, metrics, 0.0, 0.0)
     return PolicyRun(
         name,
-        measured,
-        policy.control_bytes_per_s_a_node(shape.seconds, pools=size.pools),
+        metrics,
+        policy.control_bytes_per_s_per_node(shape.seconds, pools=size.pools),
         policy.cpu_s / max(1, policy.decisions) * 1e6,
     )
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/report.py
@@ -1,4 +1,4 @@
-"""Print, write and draw what the bench measured."""
+"""Prints, writes and plots the benchmark results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def load_bounds() -> dict[str, float]:
-    """Return the committed bounds by case."""
+    """Return the committed bounds by case name, from ``bounds.json``."""
     bounds: dict[str, float] = json.loads(BOUNDS_FILE.read_text(encoding="utf-8"))
     return bounds
 
@@ -35,18 +35,18 @@
             f"{'refused':>9}{'bytes/s':>9}{'us':>6}"
         )
         for name, run in table.runs.items():
-            seen = run.measured
-            over = seen.grants_over_bound / seen.requests
+            metrics = run.metrics
+            over = metrics.grants_over_bound / metrics.requests
             lines.append(
-                f"  {name:<16}{seen.reuse:>7.3f}{seen.worst_skew:>7.2f}{over:>8.2%}"
-                f"{seen.worst_excess:>8}{seen.refused:>9}"
+                f"  {name:<16}{metrics.reuse:>7.3f}{metrics.worst_skew:>7.2f}"
+                f"{over:>8.2%}{metrics.worst_excess:>8}{metrics.refused:>9}"
                 f"{run.control_bytes_per_s:>9.0f}{run.cpu_us:>6.0f}"
             )
     return "\n".join(lines)
 
 
 def render_cases(cases: list[BenchCase]) -> str:
-    """Return the cases as text, the broken ones marked."""
+    """Return the cases as text; those outside their bounds are marked BROKEN."""
     lines = []
     for case in cases:
         mark = "" if case.is_within_bound else "  BROKEN"
@@ -67,19 +67,19 @@
 
 
 def draw(tables: list[PolicyTable], folder: Path) -> None:
-    """Draw reuse against skew, and the load over time, one picture a workload."""
+    """Plot reuse against skew, and load over time, in one image per workload."""
     folder.mkdir(parents=True, exist_ok=True)
     for table in tables:
         figure, (left, right) = plt.subplots(1, 2, figsize=(11, 4))
         for name, run in table.runs.items():
-            left.scatter(run.measured.worst_skew, run.measured.reuse)
-            left.annotate(name, (run.measured.worst_skew, run.measured.reuse))
+            left.scatter(run.metrics.worst_skew, run.metrics.reuse)
+            left.annotate(name, (run.metrics.worst_skew, run.metrics.reuse))
         left.set_xlabel("worst load over mean")
         left.set_ylabel("reuse")
         for name in ("fleet", "stale bounded", "oracle"):
-            samples = table.runs[name].measured.samples
+            samples = table.runs[name].metrics.samples
             times_s = [at_ms / 1000 for at_ms, _, _ in samples]
-            right.plot(times_s, [most for _, _, most in samples], label=name)
+            right.plot(times_s, [max_load for _, _, max_load in samples], label=name)
         right.plot(times_s, [mean for _, mean, _ in samples], "k:", label="mean")
         right.set_xlabel("s")
         right.set_ylabel("largest load")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/spread_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/spread_case.py
@@ -1,4 +1,4 @@
-"""How long a settings version takes to reach every node, by gossip alone."""
+"""Measures how long gossip takes to bring a settings version to every node."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 NODES = 410
 WATCHERS = 22
-"""Two for each of eleven zones."""
+"""Two for each of the eleven availability zones."""
 WATCH_LAG_MS = 50.0
 FETCH_MS = 50.0
-"""From hearing of a version to having it in force, over HTTP between regions."""
+"""Time to fetch and apply an announced version over HTTP between regions."""
 INTERVAL_MS = 250.0
 TRIALS = 5
 
 
 def measure_spread(bounds: dict[str, float], *, seed: int) -> BenchCase:
-    """Return the worst time over some changes, in virtual time."""
+    """Return the longest time of ``TRIALS`` changes, in virtual milliseconds."""
     worst_ms = max(_spread_once(Random(seed + trial)) for trial in range(TRIALS))
     name = "settings.in_force_ms"
     return BenchCase(
@@ -43,22 +43,24 @@
     for view in views:
         view.apply_host_list(live=nodes, leaving=[])
     index_of = {node.node_id: index for index, node in enumerate(nodes)}
-    # Each node's gossip ticks at its own phase.
-    turns = sorted((rng.random() * INTERVAL_MS, index) for index in range(NODES))
-    known_ms = dict.fromkeys(rng.sample(range(NODES), WATCHERS), WATCH_LAG_MS)
+    # The gossip timers of the nodes are not synchronized.
+    phases = sorted((rng.random() * INTERVAL_MS, index) for index in range(NODES))
+    in_force_at_ms = dict.fromkeys(rng.sample(range(NODES), WATCHERS), WATCH_LAG_MS)
     start_ms = 0.0
-    while len(known_ms) < NODES:
-        for phase_ms, index in turns:
+    while len(in_force_at_ms) < NODES:
+        for phase_ms, index in phases:
             probed = views[index].next_probe()
             if probed is not None:
                 pair = (index, index_of[probed.node_id])
-                _exchange(known_ms, pair, start_ms + phase_ms)
+                _exchange(in_force_at_ms, pair, start_ms + phase_ms)
         start_ms += INTERVAL_MS
-    return max(known_ms.values())
+    return max(in_force_at_ms.values())
 
 
-def _exchange(known_ms: dict[int, float], pair: tuple[int, int], now_ms: float) -> None:
-    knowing = [i for i in pair if known_ms.get(i, now_ms + 1) <= now_ms]
+def _exchange(
+    in_force_at_ms: dict[int, float], pair: tuple[int, int], now_ms: float
+) -> None:
+    informed = [i for i in pair if in_force_at_ms.get(i, now_ms + 1) <= now_ms]
     for index in pair:
-        if knowing and index not in known_ms:
-            known_ms[index] = now_ms + FETCH_MS
+        if informed and index not in in_force_at_ms:
+            in_force_at_ms[index] = now_ms + FETCH_MS
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/workload.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/workload.py
@@ -1,4 +1,4 @@
-"""Seeded workloads: when which chat comes back, and for how long it runs."""
+"""Seeded workloads: arrival times, chats and durations of requests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 MODEL = "model"
 SHARED_PROMPT = "rules " * 300
 HOT_TEAM_SHARE = 0.8
-"""Share of a surge that comes from two teams."""
+"""Share of a surge's extra requests that come from the two hot teams."""
 HOT_PROMPT_SHARE = 0.2
-"""Share of the hot teams' requests without a chat id: they share one long prompt."""
+"""Share of hot-team requests without a chat id, which all have one long prompt."""
 RETURN_SHARE = 0.8
-"""Share of requests that return to a chat; the others begin one."""
+"""Share of requests that continue an existing chat; the others start a new one."""
 
 
 class Request(NamedTuple):
-    """One arrival."""
+    """One simulated request."""
 
     at_ms: float
     team: int
@@ -30,7 +30,7 @@
 
 
 class Shape(NamedTuple):
-    """A workload's rate over time."""
+    """Request rate over time, durations and teams of a workload."""
 
     name: str
     rate_per_s: float
@@ -45,7 +45,7 @@
 
 
 def rate_at(shape: Shape, at_s: float) -> float:
-    """Return the arrivals a second at a moment."""
+    """Return the arrival rate per second at a point in time."""
     since_s = at_s - shape.surge_at_s
     if not 0.0 <= since_s < shape.surge_seconds:
         return shape.rate_per_s
@@ -54,7 +54,7 @@
 
 
 def generate(shape: Shape, *, seed: int) -> list[Request]:
-    """Return a workload's arrivals in order of time."""
+    """Return the requests of a workload, ordered by arrival time."""
     rng = Random(seed)
     open_chats: list[tuple[int, str]] = []
     requests: list[Request] = []
@@ -65,17 +65,17 @@
         if at_s >= shape.seconds:
             return requests
         hot = _is_hot(shape, at_s, rate_per_s, rng)
-        requests.append(_make(shape, at_s, hot, open_chats, rng))
+        requests.append(_make_request(shape, at_s, hot, open_chats, rng))
 
 
 def _is_hot(shape: Shape, at_s: float, rate_per_s: float, rng: Random) -> bool:
     if not shape.hot_teams:
         return False
-    extra = 1.0 - shape.rate_per_s / rate_per_s
-    return rng.random() < extra * HOT_TEAM_SHARE
+    surge_share = 1.0 - shape.rate_per_s / rate_per_s
+    return rng.random() < surge_share * HOT_TEAM_SHARE
 
 
-def _make(
+def _make_request(
     shape: Shape,
     at_s: float,
     hot: bool,
@@ -89,7 +89,7 @@
         return Request(at_s * 1000, team, f"prompt-{team}", key, duration_ms, True)
     is_return = bool(open_chats) and rng.random() < RETURN_SHARE
     if is_return:
-        # Most chats return soon: recent ones are drawn more often.
+        # Recent chats are drawn more often, because most chats continue soon.
         index = int(len(open_chats) * (1.0 - rng.random() ** 2))
         team, chat = open_chats[min(index, len(open_chats) - 1)]
     else:
@@ -101,7 +101,7 @@
 
 
 def _duration_ms(shape: Shape, rng: Random) -> float:
-    # Log-normal with sigma 1: a heavy tail, mean as the shape says.
+    # Log-normal with sigma 1 has a heavy tail; mu is chosen to give the shape's mean.
     sigma = 1.0
     mu = math.log(shape.mean_duration_ms) - sigma * sigma / 2
     return rng.lognormvariate(mu, sigma)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/world.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/world.py
@@ -1,15 +1,15 @@
-"""The fakes that a policy meets: runners with a bounded cache, and lagging reports."""
+"""Simulated runners with bounded caches and delayed load reports."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-REPORT_EVERY_MS = 500.0
+REPORT_INTERVAL_MS = 500.0
 REPORT_LAG_MS = 500.0
 
 
 class World:
-    """True loads and caches; policies that look at reports see the past."""
+    """True loads and caches of all runners; reported loads are out of date."""
 
     def __init__(self, *, runner_ids: list[str], slots: int, cache_chats: int) -> None:
         self.slots = slots
@@ -21,11 +21,11 @@
         self._reports: list[tuple[float, dict[str, int]]] = [(0.0, dict(self.loads))]
 
     def mean_load(self) -> float:
-        """Return the true mean load."""
+        """Return the current mean load over all runners."""
         return sum(self.loads.values()) / max(1, len(self.loads))
 
     def begin(self, runner_id: str, chat: str) -> bool:
-        """Begin a request; return whether the chat's context was there."""
+        """Begin a request; return whether the runner had the chat's context cached."""
         self.loads[runner_id] += 1
         cache = self._caches[runner_id]
         hit = chat in cache
@@ -36,27 +36,27 @@
         return hit
 
     def end(self, runner_id: str) -> None:
-        """End a request; a runner that has left is ignored."""
+        """End a request; does nothing if the runner has been replaced."""
         if runner_id in self.loads:
             self.loads[runner_id] -= 1
 
-    def is_held(self, chat: str) -> bool:
-        """Tell whether any runner still holds a chat's context."""
+    def is_cached(self, chat: str) -> bool:
+        """Return whether any runner has the chat's context cached."""
         return any(chat in cache for cache in self._caches.values())
 
-    def replace(self, gone: str, new: str) -> None:
-        """Let a runner leave and another, empty one join."""
-        del self.loads[gone]
-        del self._caches[gone]
-        self.loads[new] = 0
-        self._caches[new] = OrderedDict()
+    def replace(self, removed_id: str, added_id: str) -> None:
+        """Remove a runner and add one with an empty cache."""
+        del self.loads[removed_id]
+        del self._caches[removed_id]
+        self.loads[added_id] = 0
+        self._caches[added_id] = OrderedDict()
 
-    def report(self, now_ms: float) -> None:
-        """Note the loads as runners report them."""
+    def record_report(self, now_ms: float) -> None:
+        """Record the current loads as a report that arrives after ``REPORT_LAG_MS``."""
         self._reports.append((now_ms, dict(self.loads)))
 
-    def reported(self, now_ms: float) -> dict[str, int]:
-        """Return the newest report that has arrived by now."""
+    def reported_loads(self, now_ms: float) -> dict[str, int]:
+        """Return the loads of the newest report that has arrived by ``now_ms``."""
         while len(self._reports) > 1 and self._reports[1][0] + REPORT_LAG_MS <= now_ms:
             self._reports.pop(0)
         return self._reports[0][1]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
@@ -33,12 +33,12 @@
 TEAMS = (5_000, 10_000, 20_000, 35_000)
 RUNNERS = (500, 1_170, 2_300, 3_500)
 NODES = (50, 137, 274, 410)
-HOLDS = (500, 1_000, 2_000, 4_000)
+HELD_SLOTS = (500, 1_000, 2_000, 4_000)
 ROUTES = (100, 200, 400, 800)
 CLAIMS = (400, 800, 1_600, 3_200)
 CRASHES = (256, 512, 1_024, 2_048)
-CALLS_A_RUNNER = 64
-CRASHES_A_REQUEST = 2
+CALLS_PER_RUNNER = 64
+CRASHES_PER_REQUEST = 2
 DRAIN_WITHIN_MS = 2_000.0
 WALL_MS = 1_790_000_000_000
 POOLS = 8
@@ -49,9 +49,9 @@
     return [
         _slope("settings tree", "team", TEAMS, make_tree),
         _slope("runner rings of a region", "runner", RUNNERS, _make_rings),
-        _slope("runner table", "runner", RUNNERS, _make_table),
+        _slope("runner table", "runner", RUNNERS, _make_runner_table),
         _slope("membership view", "node", NODES, _make_membership),
-        _slope("slot ledger", "slot held", HOLDS, _make_ledger),
+        _slope("slot ledger", "slot held", HELD_SLOTS, _make_ledger),
         _slope("claims in a home's memory", "claim", CLAIMS, make_chain),
         _slope_of_shard_object(),
         _slope("runner entries of the edge", "runner", RUNNERS, _make_directory),
@@ -84,7 +84,7 @@
     return rings
 
 
-def _make_table(runners: int) -> RunnerTable:
+def _make_runner_table(runners: int) -> RunnerTable:
     table = RunnerTable()
     table.apply_host_list(
         live=[
@@ -144,10 +144,10 @@
     records = CrashRecords()
     for number in range(requests):
         digest = number.to_bytes(DIGEST_BYTES, "big")
-        for end in range(CRASHES_A_REQUEST):
+        for end in range(CRASHES_PER_REQUEST):
             records.record_crash(
                 digest,
-                lifetime=f"i-{number // CALLS_A_RUNNER:08x}{end:02x}@{WALL_MS}",
+                lifetime=f"i-{number // CALLS_PER_RUNNER:08x}{end:02x}@{WALL_MS}",
                 sent_ms=1_000.0 * end,
                 crashed_ms=1_000.0 * end + 100.0,
             )
@@ -157,11 +157,11 @@
 def _slope(
     name: str, per: str, sizes: tuple[int, ...], make: Callable[[int], object]
 ) -> Slope:
-    points = [(float(size), _bytes_of(make, size)) for size in sizes]
+    points = [(float(size), _measure_bytes(make, size)) for size in sizes]
     return fit(f"state: {name}", unit="bytes", per=per, points=points)
 
 
-def _bytes_of(make: Callable[[int], object], size: int) -> float:
+def _measure_bytes(make: Callable[[int], object], size: int) -> float:
     gc.collect()
     tracemalloc.start()
     kept = make(size)
@@ -204,7 +204,7 @@
 
 
 def _make_routes(routes: int) -> RouteTable:
-    return _make_table_of(tuple(_make_route(number) for number in range(routes)), ())
+    return _make_route_table(tuple(_make_route(number) for number in range(routes)), ())
 
 
 def _make_teams(teams: int) -> RouteTable:
@@ -212,10 +212,10 @@
         Team(f"team-{number}", (f"key-{number:020}", f"old-{number:020}"), 1)
         for number in range(teams)
     )
-    return _make_table_of((), keyed)
+    return _make_route_table((), keyed)
 
 
-def _make_table_of(routes: tuple[Route, ...], teams: tuple[Team, ...]) -> RouteTable:
+def _make_route_table(routes: tuple[Route, ...], teams: tuple[Team, ...]) -> RouteTable:
     state = DesiredState(1, 1, routes, teams, True, CallerLimits())
     return RouteTable(state=state)
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from clementineyoke_wire.bodies import HostBody
 
-TOKENS = (10, 40, 80, 160)
+TOKEN_COUNTS = (10, 40, 80, 160)
 STREAMS = 60
 TEAM = LEAGUE.teams[0]
 MEGABYTE = 1_000_000
-ANSWER_MEGABYTES = (8, 16, 32, 64)
-SLOW_READ_S = 0.02
+RESPONSE_MEGABYTES = (8, 16, 32, 64)
+READ_PAUSE_S = 0.02
 Points = list[tuple[float, float]]
 
 
@@ -56,8 +56,8 @@
     fleet: FleetProcesses, node: HostBody, session: aiohttp.ClientSession
 ) -> Points:
     points = []
-    await _stream_all(session, caller_url(node), TOKENS[0])
-    for tokens in TOKENS:
+    await _stream_all(session, caller_url(node), TOKEN_COUNTS[0])
+    for tokens in TOKEN_COUNTS:
         before_s = fleet.cpu_s(node["host"])
         await _stream_all(session, caller_url(node), tokens)
         used_s = fleet.cpu_s(node["host"]) - before_s
@@ -71,7 +71,7 @@
     """Return how far the node's peak memory rose, from small answers to large."""
     before = fleet.peak_memory_bytes(node["host"])
     points = []
-    for megabytes in ANSWER_MEGABYTES:
+    for megabytes in RESPONSE_MEGABYTES:
         await _read_slowly(session, caller_url(node), megabytes)
         peak = fleet.peak_memory_bytes(node["host"])
         points.append((float(megabytes), float(peak - before)))
@@ -88,7 +88,7 @@
         received = 0
         async for chunk in answer.content.iter_chunked(MEGABYTE):
             received += len(chunk)
-            await asyncio.sleep(SLOW_READ_S)
+            await asyncio.sleep(READ_PAUSE_S)
     if received < megabytes * MEGABYTE:
         message = f"{received} bytes came of an answer of {megabytes} MB"
         raise RuntimeError(message)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
@@ -65,13 +65,13 @@
     return fit(f"work: {name}", unit="us", per=per, points=points)
 
 
-def _time(work: Callable[[], object]) -> float:
+def _measure_cpu_s(work: Callable[[], object]) -> float:
     began_s = time.process_time()
     work()
     return time.process_time() - began_s
 
 
-def _pass(seal: Seal, message: Message) -> None:
+def _round_trip(seal: Seal, message: Message) -> None:
     datagram = seal.sign(encode(message, incarnation=1_790_000_000))
     decode(seal.open(datagram, peer="peer"))
 
@@ -82,9 +82,9 @@
 
     def work() -> None:
         for number in range(count):
-            _pass(seal, SlotAsk(number, runner, 0.0))
+            _round_trip(seal, SlotAsk(number, runner, 0.0))
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_gossip(count: int) -> float:
@@ -98,12 +98,12 @@
     def work() -> None:
         for number in range(count):
             pushed = means[0].begin_round()
-            _pass(seal, Gossip(number, False, 1, loads, []))
+            _round_trip(seal, Gossip(number, False, 1, loads, []))
             replied = means[1].merge(pushed)
-            _pass(seal, Gossip(number, True, 1, loads, []))
+            _round_trip(seal, Gossip(number, True, 1, loads, []))
             means[0].finish_round(pushed=pushed, replied=replied)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_reports(count: int) -> float:
@@ -114,10 +114,10 @@
         for number in range(count):
             digest = number.to_bytes(DIGEST_BYTES, "big")
             runner = f"i-{number:010x}"
-            _pass(seal, CrashReport(digest, runner, 900, 25))
+            _round_trip(seal, CrashReport(digest, runner, 900, 25))
             records.record_crash(digest, lifetime=runner, sent_ms=0.0, crashed_ms=900.0)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_checks(count: int) -> float:
@@ -131,7 +131,7 @@
             )
             records.refused_for_ms(digest, now_ms=2_000.0)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_ledger(count: int) -> float:
@@ -143,7 +143,7 @@
             ledger.acquire("engine-1", hold, bound=64, now_ms=0.0)
             ledger.release("engine-1", hold)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_changes(count: int) -> float:
@@ -165,7 +165,7 @@
         for change in changes:
             log.apply(change)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_segment_write(claims: int) -> float:
@@ -175,12 +175,12 @@
         write = chain.next_write([], [], wall_ms=WALL_MS + 1)
         chain.record_written(write, version=2)
 
-    return _time(work)
+    return _measure_cpu_s(work)
 
 
 def _run_ring(runners: int) -> float:
     members = [f"engine-{n}" for n in range(runners)]
-    return _time(lambda: HashRing().set_members(members))
+    return _measure_cpu_s(lambda: HashRing().set_members(members))
 
 
 def _run_ring_change(runners: int) -> float:
@@ -188,4 +188,4 @@
     Random(1).shuffle(members)
     ring = HashRing()
     ring.set_members(members)
-    return _time(lambda: ring.set_members(members[1:]))
+    return _measure_cpu_s(lambda: ring.set_members(members[1:]))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
@@ -8,7 +8,7 @@
 import fire
 
 from clementineyoke_standins.demo.deployment import DEPLOYMENTS
-from clementineyoke_standins.demo.evening import Evening
+from clementineyoke_standins.demo.evening import DemoScenario
 from clementineyoke_standins.demo.report import make_lines, render
 
 
@@ -16,10 +16,10 @@
     """Play an evening of a deployment (league or coop); exits 1 on a broken promise."""
     if deployment not in DEPLOYMENTS:
         sys.exit(f"no deployment {deployment!r}; there are {', '.join(DEPLOYMENTS)}")
-    evening = Evening(deployment=DEPLOYMENTS[deployment], seed=seed)
+    evening = DemoScenario(deployment=DEPLOYMENTS[deployment], seed=seed)
     lines = make_lines(asyncio.run(evening.run()))
     print(render(lines))
-    if any(line.holds is False for line in lines):
+    if any(line.is_met is False for line in lines):
         sys.exit(1)
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
@@ -9,7 +9,11 @@
 
 import fire
 
-from clementineyoke_standins.experiment.day_player import Case, DayPlayer, Play
+from clementineyoke_standins.experiment.day_player import (
+    ArmRun,
+    BenchmarkLauncher,
+    Case,
+)
 from clementineyoke_standins.experiment.paired_difference import compare
 
 if TYPE_CHECKING:
@@ -17,9 +21,9 @@
     from clementineyoke_standins.experiment.paired_difference import PairedDifference
 
 FOLDER = Path("build/experiment")
-LEAST_SHOWN = 0.0005
+MIN_SHOWN_DIFFERENCE = 0.0005
 """Differences of prices and parts under this are not printed."""
-ARM_FIGURES = (
+ARM_METRICS = (
     "part: whole day",
     "part: worst windows",
     "part: worst class",
@@ -28,7 +32,7 @@
 )
 """Printed for each of several arms where the interval leaves no doubt."""
 Pairs = list[tuple["DayReport", "DayReport"]]
-Played = dict[str, list["DayReport | None"]]
+ReportsByArm = dict[str, list["DayReport | None"]]
 """Reports of each arm, in the order of the cases."""
 
 
@@ -54,10 +58,10 @@
     or every figure if there are only two arms; writes all to
     ``build/experiment/NAME.json`` with a plot beside it.
     """
-    places = dict(entry.split("=", 1) for entry in _words(arms))
+    places = dict(entry.split("=", 1) for entry in _split_option(arms))
     folder = (FOLDER / name).resolve()
     folder.mkdir(parents=True, exist_ok=True)
-    player = DayPlayer(
+    player = BenchmarkLauncher(
         bench=Path(bench).resolve(),
         arms={arm: Path(place).resolve() for arm, place in places.items()},
         folder=folder,
@@ -67,32 +71,34 @@
         is_small=small,
     )
     cases = [
-        Case(str(Path(site).resolve()), _day(day), seed)
-        for site in _words(sites)
-        for day in _words(days)
+        Case(str(Path(site).resolve()), _resolve_day(day), seed)
+        for site in _split_option(sites)
+        for day in _split_option(days)
         for seed in range(first_seed, first_seed + seeds)
     ]
-    played = asyncio.run(_play_all(player, list(places), cases))
+    played = asyncio.run(_run_all(player, list(places), cases))
     _report(played, FOLDER / f"{name}.json")
 
 
-def _day(word: str) -> str:
+def _resolve_day(word: str) -> str:
     """Return a day's name as it is, and the path of a day of our own made absolute."""
     return str(Path(word).resolve()) if word.endswith(".toml") else word
 
 
-def _words(text: object) -> list[str]:
+def _split_option(text: object) -> list[str]:
     """Return the words of an option, which ``fire`` may have split already."""
     if isinstance(text, list | tuple):
         return [str(word) for word in text]
     return str(text).split(",")
 
 
-async def _play_all(player: DayPlayer, arms: list[str], cases: list[Case]) -> Played:
-    played: Played = {arm: [None] * len(cases) for arm in arms}
+async def _run_all(
+    player: BenchmarkLauncher, arms: list[str], cases: list[Case]
+) -> ReportsByArm:
+    played: ReportsByArm = {arm: [None] * len(cases) for arm in arms}
 
     async def play_case(index: int, case: Case) -> None:
-        reports = await asyncio.gather(*(player.play(Play(arm, case)) for arm in arms))
+        reports = await asyncio.gather(*(player.run(ArmRun(arm, case)) for arm in arms))
         for arm, report in zip(arms, reports, strict=True):
             played[arm][index] = report
         worths = " ".join("-" if r is None else f"{r.worth:.3f}" for r in reports)
@@ -102,19 +108,19 @@
     return played
 
 
-def _report(played: Played, path: Path) -> None:
+def _report(played: ReportsByArm, path: Path) -> None:
     first, *others = played
     found: dict[str, dict[str, PairedDifference]] = {}
     for arm in others:
-        pairs = _pairs(played[first], played[arm])
+        pairs = _complete_pairs(played[first], played[arm])
         if not pairs:
             print(f"{arm}: no pairs were played")
             continue
-        found[arm] = _differences(pairs)
+        found[arm] = _compare_metrics(pairs)
         _plot(pairs, (first, arm), path.with_name(f"{path.stem}-{arm}.png"))
     if len(others) == 1:
         for differences in found.values():
-            _print_figures(differences)
+            _print_metrics(differences)
     else:
         _print_arms(found)
     document = {
@@ -124,14 +130,16 @@
     path.write_text(json.dumps(document, indent=1))
 
 
-def _pairs(first: list[DayReport | None], second: list[DayReport | None]) -> Pairs:
+def _complete_pairs(
+    first: list[DayReport | None], second: list[DayReport | None]
+) -> Pairs:
     both = zip(first, second, strict=True)
     return [(one, two) for one, two in both if one is not None and two is not None]
 
 
-def _print_figures(found: dict[str, PairedDifference]) -> None:
+def _print_metrics(found: dict[str, PairedDifference]) -> None:
     for figure, result in found.items():
-        if figure == "worth" or abs(result.difference) >= LEAST_SHOWN:
+        if figure == "worth" or abs(result.difference) >= MIN_SHOWN_DIFFERENCE:
             print(f"{figure:42} {result.first:9.4f} {result.second:9.4f} {result}")
 
 
@@ -139,13 +147,13 @@
     for arm, differences in found.items():
         broken = differences["broken rules"].second * differences["broken rules"].pairs
         print(f"{arm:14} worth {differences['worth']}  rules broken {broken:.0f}")
-        for figure in ARM_FIGURES:
+        for figure in ARM_METRICS:
             if figure in differences and differences[figure].is_clear:
                 print(f"{'':14} {figure} {differences[figure]}")
 
 
-def _differences(pairs: Pairs) -> dict[str, PairedDifference]:
-    figures = [(first.figures(), second.figures()) for first, second in pairs]
+def _compare_metrics(pairs: Pairs) -> dict[str, PairedDifference]:
+    figures = [(first.metrics(), second.metrics()) for first, second in pairs]
     names = list(dict.fromkeys(name for both in figures for f in both for name in f))
     return {
         name: compare(
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
@@ -36,8 +36,8 @@
 STREAM_PATH = "/streaming/"
 PLAIN_PATH = "/non_idempotent/"
 PROMPT = "5c1e07a2:512,91bd3f06:10000,e4402b7d:1300"
-OURS = "clementineyoke_"
-SHOWN = 14
+PACKAGE_PREFIX = "clementineyoke_"
+MAX_ROWS = 14
 
 
 class ProfiledNode:
@@ -153,17 +153,17 @@
 def _report(stats: pstats.Stats, calls: int) -> None:
     own_s: dict[str, float] = defaultdict(float)
     for (file, _, _), (_, _, spent_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
-        own_s[_part_of(file)] += spent_s
+        own_s[_component_of(file)] += spent_s
     total_s = sum(own_s.values())
-    for part, spent_s in sorted(own_s.items(), key=lambda item: -item[1])[:SHOWN]:
+    for part, spent_s in sorted(own_s.items(), key=lambda item: -item[1])[:MAX_ROWS]:
         print(f"{part:50} {spent_s / total_s:6.1%} {1e6 * spent_s / calls:8.0f} us")
 
 
-def _part_of(file: str) -> str:
+def _component_of(file: str) -> str:
     """Return our module, or the library that a file belongs to."""
     place = file.replace("\\", "/")
-    if OURS in place:
-        return place[place.rindex(OURS) :]
+    if PACKAGE_PREFIX in place:
+        return place[place.rindex(PACKAGE_PREFIX) :]
     if "site-packages/" in place:
         return place.split("site-packages/")[1].split("/")[0]
     return "interpreter and standard library"
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
@@ -13,12 +13,12 @@
 from clementineyoke_standins.soak.soak_run import SoakReport, SoakRun
 
 FOLDER = Path("build/soak")
-KEPT_SEEDS = Path("samples/soak-seeds.json")
+REGRESSION_SEEDS = Path("samples/soak-seeds.json")
 """Seeds that have failed once, each with its cause."""
 LENGTH_S = 14.0
 
 
-class Wanted(NamedTuple):
+class SeedRun(NamedTuple):
     """A seed to play, and for how long faults begin."""
 
     seed: int
@@ -43,11 +43,11 @@
     ``--timed=False`` leaves out promises that a busy machine would decide; ``--kept``
     adds the seeds that have failed before.
     """
-    wanted = [Wanted(seed, length_s) for seed in _parse(str(seeds))]
+    wanted = [SeedRun(seed, length_s) for seed in _parse_seeds(str(seeds))]
     if kept:
-        entries = json5.loads(KEPT_SEEDS.read_text())
+        entries = json5.loads(REGRESSION_SEEDS.read_text())
         wanted += [
-            Wanted(
+            SeedRun(
                 entry["seed"],
                 entry["length_s"],
                 entry.get("has_crashes", False),
@@ -56,7 +56,7 @@
             )
             for entry in entries
         ]
-    reports = [_play(entry, is_timed=timed) for entry in wanted]
+    reports = [_run_seed(entry, is_timed=timed) for entry in wanted]
     failed = [report for report in reports if report.broken]
     print(
         f"{len(reports) - len(failed)} seeds kept every promise, {len(failed)} did not"
@@ -65,7 +65,7 @@
         sys.exit(1)
 
 
-def _play(wanted: Wanted, *, is_timed: bool) -> SoakReport:
+def _run_seed(wanted: SeedRun, *, is_timed: bool) -> SoakReport:
     folder = FOLDER / f"seed-{wanted.seed}"
     played = SoakRun(**wanted._asdict(), folder=folder, is_timed=is_timed)
     report = asyncio.run(played.run())
@@ -81,7 +81,7 @@
     return report
 
 
-def _parse(seeds: str) -> list[int]:
+def _parse_seeds(seeds: str) -> list[int]:
     wanted: list[int] = []
     for part in seeds.strip("()").replace(" ", "").split(","):
         if not part:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
@@ -33,11 +33,13 @@
     def runners(self, deployment: str) -> None:
         """Serve every runner of a deployment."""
         hosts = runner_hosts(DEPLOYMENTS[deployment])
-        served = [(_app_of(host), host["address"], host["port"]) for host in hosts]
+        served = [
+            (_make_application(host), host["address"], host["port"]) for host in hosts
+        ]
         asyncio.run(_serve(served))
 
 
-def _app_of(host: HostBody) -> web.Application:
+def _make_application(host: HostBody) -> web.Application:
     if host["role"] == "engine":
         engine = ModelEngine(runner_id=host["host"], slots=host["slots"])
         return engine.application()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -17,26 +17,26 @@
     from clementineyoke_standins.demo.deployment import Deployment
 
 TIMEOUT_S = 20.0
-MOST_TRIES = 6
-RESUME_TRIES = 3
+MAX_ATTEMPTS = 6
+MAX_RESUME_ATTEMPTS = 3
 STATUS_OK = 200
 REPEAT_SHARE = 0.15
 """Share of score posts that are repeated through another node though answered."""
 
 
-class Kept(NamedTuple):
+class CachedAddresses(NamedTuple):
     """An address answer and until when it may be kept."""
 
     addresses: list[tuple[str, int]]
-    until_s: float
+    expires_at_s: float
 
 
-class Part(NamedTuple):
+class ResponseBody(NamedTuple):
     """What came of an answer, and whether it ended in order."""
 
     body: bytes
     error: str
-    is_whole: bool
+    is_complete: bool
 
 
 class Chat:
@@ -66,7 +66,7 @@
         self._session = session
         self._tally = tally
         self._rng = rng
-        self._kept: dict[tuple[str, str], Kept] = {}
+        self._cached_addresses: dict[tuple[str, str], CachedAddresses] = {}
 
     async def send_chat(self, chat: Chat) -> None:
         """Send the chat's next turn until it is answered whole."""
@@ -79,7 +79,7 @@
             "messages": [{"role": "user", "content": chat.text}],
         }
         began_s = time.monotonic()
-        for attempt in range(MOST_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             address = await self._address(
                 chat.team, chat.chat_id, attempt, chat.placement
             )
@@ -90,7 +90,7 @@
 
     async def post_score(self, team: str, mark: str) -> None:
         """Post a score once, repeating it with its key until its fate is known."""
-        for attempt in range(MOST_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             outcome = await self._try_post(
                 await self._address(team, "", attempt), team, mark
             )
@@ -120,24 +120,24 @@
             headers.PLACEMENT: chat.placement,
             headers.RESUMABLE: "1",
         }
-        part = Part(b"", "", False)
+        part = ResponseBody(b"", "", False)
         try:
             async with self._session.post(url, json=body, headers=sent) as answer:
                 part = await _read(answer)
         except (aiohttp.ClientError, TimeoutError):
             self._tally.outcomes["chat_no_connection"] += 1
-            self._forget(chat.team, chat.chat_id)
+            self._drop_first_address(chat.team, chat.chat_id)
             return False
         if answer.status != STATUS_OK:
             self._tally.outcomes[f"chat_{json.loads(part.body)['outcome']}"] += 1
             return False
-        if not part.is_whole:
+        if not part.is_complete:
             self._tally.outcomes["chat_cut"] += 1
             self._tally.cut_by_node[address[0]] += 1
             part = await self._resume(chat, address, part, answer)
-        if not part.is_whole:
+        if not part.is_complete:
             return False
-        self._check_whole(answer, part.body.decode(), body["max_tokens"])
+        self._check_content(answer, part.body.decode(), body["max_tokens"])
         chat.placement = answer.headers[headers.PLACEMENT]
         self._tally.outcomes["chat_whole"] += 1
         return True
@@ -146,25 +146,25 @@
         self,
         chat: Chat,
         address: tuple[str, int],
-        part: Part,
+        part: ResponseBody,
         answer: aiohttp.ClientResponse,
-    ) -> Part:
+    ) -> ResponseBody:
         """Ask other nodes for the rest of a stream that broke."""
         sent = {**self._auth(chat.team), headers.RESUME: answer.headers[headers.RESUME]}
         others = [node for node in self._bootstrap if node != address]
-        for host, port in self._rng.sample(others, RESUME_TRIES):
+        for host, port in self._rng.sample(others, MAX_RESUME_ATTEMPTS):
             url = f"http://{host}:{port}/v1/streams?after={len(part.body)}"
             try:
                 async with self._session.get(url, headers=sent) as rest_answer:
                     rest = await _read(rest_answer)
             except (aiohttp.ClientError, TimeoutError):
                 continue
-            if rest_answer.status == STATUS_OK and rest.is_whole:
+            if rest_answer.status == STATUS_OK and rest.is_complete:
                 self._tally.outcomes["chat_resumed"] += 1
-                return Part(part.body + rest.body, rest.error, True)
+                return ResponseBody(part.body + rest.body, rest.error, True)
         return part
 
-    def _check_whole(
+    def _check_content(
         self, answer: aiohttp.ClientResponse, text: str, tokens: int
     ) -> None:
         name = answer.headers[headers.REQUEST_ID]
@@ -195,20 +195,22 @@
     async def _address(
         self, team: str, chat_id: str, attempt: int, placement: str = ""
     ) -> tuple[str, int]:
-        kept = self._kept.get((team, chat_id))
-        if kept is None or kept.until_s < time.monotonic():
-            kept = await self._ask_addresses(team, chat_id, placement)
-            self._kept[team, chat_id] = kept
+        kept = self._cached_addresses.get((team, chat_id))
+        if kept is None or kept.expires_at_s < time.monotonic():
+            kept = await self._fetch_addresses(team, chat_id, placement)
+            self._cached_addresses[team, chat_id] = kept
         return kept.addresses[attempt % len(kept.addresses)]
 
-    async def _ask_addresses(self, team: str, chat_id: str, placement: str) -> Kept:
+    async def _fetch_addresses(
+        self, team: str, chat_id: str, placement: str
+    ) -> CachedAddresses:
         sent = self._auth(team)
         params = {}
         if chat_id:
             sent[headers.CHAT_ID] = chat_id
             sent[headers.PLACEMENT] = placement
             params["model"] = self._deployment.model
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             host, port = self._rng.choice(self._bootstrap)
             url = f"http://{host}:{port}/v1/addresses"
             try:
@@ -221,24 +223,26 @@
             if answer.status == STATUS_OK and body["addresses"]:
                 addresses = [(a["address"], a["port"]) for a in body["addresses"]]
                 keep_s = body["keep_ms"] / 1000
-                return Kept(addresses, time.monotonic() + keep_s)
-        return Kept(self._bootstrap, time.monotonic())
+                return CachedAddresses(addresses, time.monotonic() + keep_s)
+        return CachedAddresses(self._bootstrap, time.monotonic())
 
-    def _forget(self, team: str, chat_id: str) -> None:
-        kept = self._kept.get((team, chat_id))
+    def _drop_first_address(self, team: str, chat_id: str) -> None:
+        kept = self._cached_addresses.get((team, chat_id))
         if kept is not None and len(kept.addresses) > 1:
-            self._kept[team, chat_id] = kept._replace(addresses=kept.addresses[1:])
+            self._cached_addresses[team, chat_id] = kept._replace(
+                addresses=kept.addresses[1:]
+            )
 
     def _auth(self, team: str) -> dict[str, str]:
         key = f"{self._deployment.group}/{team}/demo-key-{team}"
         return {"Authorization": f"Bearer {key}"}
 
 
-async def _read(answer: aiohttp.ClientResponse) -> Part:
+async def _read(answer: aiohttp.ClientResponse) -> ResponseBody:
     body = b""
     try:
         async for chunk in answer.content.iter_any():
             body += chunk
     except (aiohttp.ClientError, TimeoutError) as error:
-        return Part(body, repr(error), False)
-    return Part(body, "", True)
+        return ResponseBody(body, repr(error), False)
+    return ResponseBody(body, "", True)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
@@ -35,18 +35,18 @@
 
 CHATS_PER_S = 40.0
 POSTS_PER_S = 20.0
-EVENING_S = 24.0
-RUNNER_LEAVES_S = 6.0
-NODE_STOPS_S = 10.0
-NODE_DIES_S = 15.0
-SETTINGS_CHANGE_S = 18.0
+DURATION_S = 24.0
+RUNNER_LEAVE_AT_S = 6.0
+NODE_STOP_AT_S = 10.0
+NODE_KILL_AT_S = 15.0
+SETTINGS_CHANGE_AT_S = 18.0
 OUTAGE_S = 2.0
-LOOK_S = 0.05
-LEAVE_BOUND_S = 3.0
+POLL_INTERVAL_S = 0.05
+MAX_LEAVE_S = 3.0
 CALL_TIMEOUT_S = 20.0
 
 
-class EveningResult(NamedTuple):
+class DemoResult(NamedTuple):
     """All that the table is made of."""
 
     tally: CallerTally
@@ -62,7 +62,7 @@
     seconds: float
 
 
-class Evening:
+class DemoScenario:
     """Run one deployment through its evening and collect what was seen."""
 
     def __init__(self, *, deployment: Deployment, seed: int) -> None:
@@ -73,7 +73,7 @@
         self._stop_exit_code = -1
         self._in_force_s = -1.0
 
-    async def run(self) -> EveningResult:
+    async def run(self) -> DemoResult:
         """Start everything, play the evening, end everything."""
         folder = Path("build") / "demo" / self._deployment.name
         async with FleetProcesses(deployment=self._deployment, folder=folder) as fleet:
@@ -82,10 +82,10 @@
             await fleet.wait_ready()
             began_s = time.monotonic()
             async with make_session(CALL_TIMEOUT_S) as session:
-                await self._play(fleet, session)
+                await self._run_traffic(fleet, session)
             return await self._collect(fleet, time.monotonic() - began_s)
 
-    async def _play(
+    async def _run_traffic(
         self, fleet: FleetProcesses, session: aiohttp.ClientSession
     ) -> None:
         traffic = Traffic(
@@ -99,7 +99,7 @@
         )
         async with traffic:
             await asyncio.gather(
-                asyncio.sleep(EVENING_S),
+                asyncio.sleep(DURATION_S),
                 self._leave_runner(fleet, session),
                 self._stop_node(fleet),
                 self._kill_node(fleet),
@@ -109,24 +109,24 @@
     async def _leave_runner(
         self, fleet: FleetProcesses, session: aiohttp.ClientSession
     ) -> None:
-        await asyncio.sleep(RUNNER_LEAVES_S)
+        await asyncio.sleep(RUNNER_LEAVE_AT_S)
         host = fleet.runners[0] | {"state": "leaving"}
         await session.put(f"{PLATFORM_URL}/control/hosts", json=host)
         self._left_s = time.time()
 
     async def _stop_node(self, fleet: FleetProcesses) -> None:
-        await asyncio.sleep(NODE_STOPS_S)
+        await asyncio.sleep(NODE_STOP_AT_S)
         name = fleet.nodes[1]["host"]
         fleet.signal(name, signal.SIGTERM)
         self._stop_exit_code = await fleet.wait_ended(name)
 
     async def _kill_node(self, fleet: FleetProcesses) -> None:
-        await asyncio.sleep(NODE_DIES_S)
+        await asyncio.sleep(NODE_KILL_AT_S)
         fleet.signal(fleet.nodes[2]["host"], signal.SIGKILL)
 
     async def _change_settings(self, fleet: FleetProcesses) -> None:
         """Change settings and take the platform away as soon as that is accepted."""
-        await asyncio.sleep(SETTINGS_CHANGE_S)
+        await asyncio.sleep(SETTINGS_CHANGE_AT_S)
         clients = [operator_client(admin_url(host)) for host in fleet.nodes]
         alive = clients[:1] + clients[3:]
         seen = await alive[0].get("/admin/settings")
@@ -147,7 +147,7 @@
         client = operator_client(admin_url(fleet.nodes[0]))
         await client.change_settings(whole_change(edits, based_on=0))
 
-    async def _collect(self, fleet: FleetProcesses, seconds: float) -> EveningResult:
+    async def _collect(self, fleet: FleetProcesses, seconds: float) -> DemoResult:
         stats = await read_runner_stats(fleet.runners)
         async with (
             aiohttp.ClientSession() as session,
@@ -159,7 +159,7 @@
             host["host"]: await operator_client(admin_url(host)).get("/admin/status")
             for host in alive
         }
-        return EveningResult(
+        return DemoResult(
             tally=self._tally,
             runner_stats=stats,
             node_status=status,
@@ -203,4 +203,4 @@
     while min(versions) < version:
         answers = [await client.get("/admin/settings") for client in clients]
         versions = [answer["version"] for answer in answers]
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
@@ -32,7 +32,7 @@
 NODE_MODULE = "clementineyoke_node.console.main"
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 40.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 STATUS_OK = 200
 
 
@@ -106,8 +106,8 @@
             asyncio.timeout(START_TIMEOUT_S),
             aiohttp.ClientSession() as session,
         ):
-            while not await _answers(session, url):
-                await asyncio.sleep(POLL_S)
+            while not await _is_ok(session, url):
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     def signal(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a process that this object started."""
@@ -140,7 +140,7 @@
         )
 
 
-async def _answers(session: aiohttp.ClientSession, url: str) -> bool:
+async def _is_ok(session: aiohttp.ClientSession, url: str) -> bool:
     try:
         async with session.get(url) as response:
             return response.status == STATUS_OK
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -4,26 +4,26 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from clementineyoke_standins.demo.evening import LEAVE_BOUND_S
+from clementineyoke_standins.demo.evening import MAX_LEAVE_S
 from clementineyoke_standins.demo.runner_stats import count_executions
 
 if TYPE_CHECKING:
-    from clementineyoke_standins.demo.evening import EveningResult
+    from clementineyoke_standins.demo.evening import DemoResult
 
-SETTINGS_BOUND_S = 7.0
-CONTROL_BOUND_BYTES_PER_S = 5_000.0
+MAX_SETTINGS_S = 7.0
+MAX_CONTROL_BYTES_PER_S = 5_000.0
 
 
-class Line(NamedTuple):
+class ReportLine(NamedTuple):
     """One line: what, the figure, and whether it is as promised."""
 
     name: str
     figure: str
-    holds: bool | None
+    is_met: bool | None
     """None where nothing was promised."""
 
 
-def make_lines(result: EveningResult) -> list[Line]:
+def make_lines(result: DemoResult) -> list[ReportLine]:
     """Return the table's lines."""
     tally = result.tally
     outcomes = tally.outcomes
@@ -40,48 +40,53 @@
     in_force_s = result.settings_in_force_s
     control = _control_bytes_per_s(result)
     return [
-        Line("chats answered whole", str(outcomes["chat_whole"]), None),
-        Line("score posts that ran", str(outcomes["post_ran"]), None),
-        Line("all outcomes", _join(outcomes), None),
-        Line("p50 / p95 of a whole chat", _latency(result), None),
-        Line("1 worst peak over mean peak", _skew(result), None),
-        Line("2 crossed or mixed answers", str(tally.crossed), tally.crossed == 0),
-        Line("2 cut answers but by the kill", str(other_cuts), other_cuts == 0),
-        Line('3 false "not run"', str(false_not_run), false_not_run == 0),
-        Line("4 doubled executions", str(doubled), doubled == 0),
-        Line("4 posts repeated elsewhere", _repeats(result), None),
-        Line("5 leaving runner's last work", f"{late_s:.2f} s", late_s < LEAVE_BOUND_S),
-        Line("6 cut by the planned stop", str(cut_at_stop), cut_at_stop == 0),
-        Line(
+        ReportLine("chats answered whole", str(outcomes["chat_whole"]), None),
+        ReportLine("score posts that ran", str(outcomes["post_ran"]), None),
+        ReportLine("all outcomes", _join(outcomes), None),
+        ReportLine("p50 / p95 of a whole chat", _latency(result), None),
+        ReportLine("1 worst peak over mean peak", _skew(result), None),
+        ReportLine(
+            "2 crossed or mixed answers", str(tally.crossed), tally.crossed == 0
+        ),
+        ReportLine("2 cut answers but by the kill", str(other_cuts), other_cuts == 0),
+        ReportLine('3 false "not run"', str(false_not_run), false_not_run == 0),
+        ReportLine("4 doubled executions", str(doubled), doubled == 0),
+        ReportLine("4 posts repeated elsewhere", _repeats(result), None),
+        ReportLine(
+            "5 leaving runner's last work", f"{late_s:.2f} s", late_s < MAX_LEAVE_S
+        ),
+        ReportLine("6 cut by the planned stop", str(cut_at_stop), cut_at_stop == 0),
+        ReportLine(
             "6 exit code of the stop",
             str(result.stop_exit_code),
             result.stop_exit_code == 0,
         ),
-        Line(
+        ReportLine(
             "7 in force, platform away",
             f"{in_force_s:.2f} s",
-            0 <= in_force_s < SETTINGS_BOUND_S,
+            0 <= in_force_s < MAX_SETTINGS_S,
         ),
-        Line("reuse of prompt prefixes", f"{_reuse(result):.1%}", None),
-        Line(
+        ReportLine("reuse of prompt prefixes", f"{_reuse(result):.1%}", None),
+        ReportLine(
             "control bytes a second a node",
             f"mean {control[0]:.0f}, worst {control[1]:.0f}",
-            control[1] <= CONTROL_BOUND_BYTES_PER_S,
+            control[1] <= MAX_CONTROL_BYTES_PER_S,
         ),
-        Line("platform calls", _join(result.platform_calls), None),
+        ReportLine("platform calls", _join(result.platform_calls), None),
     ]
 
 
-def render(lines: list[Line]) -> str:
+def render(lines: list[ReportLine]) -> str:
     """Return the table as text."""
     marks = {True: "ok", False: "BROKEN", None: ""}
     width = max(len(line.name) for line in lines)
     return "\n".join(
-        f"{line.name:<{width}}  {marks[line.holds]:<6}  {line.figure}" for line in lines
+        f"{line.name:<{width}}  {marks[line.is_met]:<6}  {line.figure}"
+        for line in lines
     )
 
 
-def _skew(result: EveningResult) -> str:
+def _skew(result: DemoResult) -> str:
     peaks = [
         stats["peak_running"]
         for stats in result.runner_stats.values()
@@ -90,7 +95,7 @@
     return f"{max(peaks) / (sum(peaks) / len(peaks)):.2f} (peaks {sorted(peaks)})"
 
 
-def _reuse(result: EveningResult) -> float:
+def _reuse(result: DemoResult) -> float:
     cached = prompts = 0
     for stats in result.runner_stats.values():
         cached += stats.get("cached_characters", 0)
@@ -98,7 +103,7 @@
     return cached / max(1, prompts)
 
 
-def _control_bytes_per_s(result: EveningResult) -> tuple[float, float]:
+def _control_bytes_per_s(result: DemoResult) -> tuple[float, float]:
     rates = [
         sum(status["control_sent_bytes"].values()) / result.seconds
         for status in result.node_status.values()
@@ -106,13 +111,13 @@
     return sum(rates) / len(rates), max(rates)
 
 
-def _latency(result: EveningResult) -> str:
+def _latency(result: DemoResult) -> str:
     p50_ms = result.tally.percentile_s(0.5) * 1000
     p95_ms = result.tally.percentile_s(0.95) * 1000
     return f"{p50_ms:.0f} ms / {p95_ms:.0f} ms"
 
 
-def _repeats(result: EveningResult) -> str:
+def _repeats(result: DemoResult) -> str:
     tally = result.tally
     return f"{tally.repeats_elsewhere} ({tally.repeated_answers} got the kept answer)"
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
@@ -54,8 +54,8 @@
         self._chats_per_s = chats_per_s
         self._posts_per_s = posts_per_s
         self._senders: list[asyncio.Task[None]] = []
-        self._under_way: set[asyncio.Task[None]] = set()
-        self._busy: set[str] = set()
+        self._in_flight: set[asyncio.Task[None]] = set()
+        self._chats_in_flight: set[str] = set()
 
     async def __aenter__(self) -> Self:
         """Begin to send."""
@@ -68,7 +68,7 @@
         for sender in self._senders:
             sender.cancel()
         await asyncio.gather(*self._senders, return_exceptions=True)
-        await asyncio.gather(*self._under_way)
+        await asyncio.gather(*self._in_flight)
 
     async def _send_chats(self) -> None:
         teams = self._deployment.teams
@@ -84,16 +84,16 @@
         ]
         while True:
             chat = self._rng.choice(chats)
-            if chat.chat_id not in self._busy:
-                self._spawn(self._take_turn(chat))
+            if chat.chat_id not in self._chats_in_flight:
+                self._spawn(self._send_turn(chat))
             await asyncio.sleep(self._rng.expovariate(self._chats_per_s))
 
-    async def _take_turn(self, chat: Chat) -> None:
-        self._busy.add(chat.chat_id)
+    async def _send_turn(self, chat: Chat) -> None:
+        self._chats_in_flight.add(chat.chat_id)
         try:
             await self._caller.send_chat(chat)
         finally:
-            self._busy.discard(chat.chat_id)
+            self._chats_in_flight.discard(chat.chat_id)
 
     async def _post_scores(self) -> None:
         number = 0
@@ -105,5 +105,5 @@
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.create_task(work)
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        self._in_flight.add(task)
+        task.add_done_callback(self._in_flight.discard)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
@@ -18,7 +18,7 @@
     seed: int
 
 
-class Play(NamedTuple):
+class ArmRun(NamedTuple):
     """A case in one arm."""
 
     arm: str
@@ -31,7 +31,7 @@
         return f"{self.arm}-{Path(site).stem}-{Path(day).stem}-{seed}"
 
 
-class DayPlayer:
+class BenchmarkLauncher:
     """Own the bench's processes; each arm is a work tree of its own."""
 
     def __init__(
@@ -52,29 +52,29 @@
         self._why = why
         self._charges_cpu = charges_cpu
         self._is_small = is_small
-        self._free = asyncio.Semaphore(jobs)
+        self._job_slots = asyncio.Semaphore(jobs)
 
-    async def play(self, play: Play) -> DayReport | None:
+    async def run(self, arm_run: ArmRun) -> DayReport | None:
         """Return the day's report, or None when the bench gave none."""
-        report = self._folder / f"{play.label}.json"
+        report = self._folder / f"{arm_run.label}.json"
         report.unlink(missing_ok=True)
-        async with self._free:
+        async with self._job_slots:
             done = await asyncio.create_subprocess_exec(
                 str(self._bench),
-                *self._arguments(play, report),
-                cwd=self._arms[play.arm],
+                *self._arguments(arm_run, report),
+                cwd=self._arms[arm_run.arm],
                 stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.STDOUT,
             )
             output, _ = await done.communicate()
-        (self._folder / f"{play.label}.txt").write_bytes(output)
+        (self._folder / f"{arm_run.label}.txt").write_bytes(output)
         try:
             return read_report(report.read_text())
         except (OSError, ValueError) as error:
-            print(f"{play.label}: no report: {error}")
+            print(f"{arm_run.label}: no report: {error}")
             return None
 
-    def _arguments(self, play: Play, report: Path) -> list[str]:
+    def _arguments(self, play: ArmRun, report: Path) -> list[str]:
         site, day, seed = play.case
         arguments = ["run", site, day, "--seed", str(seed)]
         arguments += ["--report", str(report), "--why", self._why]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
@@ -18,12 +18,12 @@
     """What was paid for, each in its own unit."""
     unserved: dict[str, int]
     """Requests that were not served, by how their last try ended."""
-    broken: tuple[str, ...]
+    broken_rules: tuple[str, ...]
     """Rules that were broken."""
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Return every figure by a name of its own, for comparing."""
-        figures = {"worth": self.worth, "broken rules": float(len(self.broken))}
+        figures = {"worth": self.worth, "broken rules": float(len(self.broken_rules))}
         figures["prices"] = sum(self.prices.values())
         figures |= {f"part: {name}": value for name, value in self.parts.items()}
         figures |= {f"price: {name}": value for name, value in self.prices.items()}
@@ -36,18 +36,18 @@
 def read_report(text: str) -> DayReport:
     """Read a report; raises ``ValueError`` that says what is missing."""
     try:
-        return _read(json.loads(text))
+        return _parse(json.loads(text))
     except (KeyError, TypeError) as error:
         message = f"no report of a day: {error!r}"
         raise ValueError(message) from error
 
 
-def _read(document: dict[str, Any]) -> DayReport:
+def _parse(document: dict[str, Any]) -> DayReport:
     return DayReport(
         worth=float(document["G"]),
         parts={name: float(share) for name, _, share in document["parts"]},
         prices={name: float(price) for name, _, price in document["prices"]},
         amounts={name: float(amount) for name, amount, _ in document["prices"]},
         unserved={end: int(count) for end, count, *_ in document["unserved_by"]},
-        broken=tuple(document["breaks"]),
+        broken_rules=tuple(document["breaks"]),
     )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/host_registry.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/host_registry.py
@@ -23,13 +23,13 @@
         """Add or change a host."""
         await asyncio.sleep(self.lag_ms / 1000)
         self._hosts[host["host"]] = host
-        await self._note(host["host"])
+        await self._record_change(host["host"])
 
     async def remove(self, name: str) -> None:
         """Drop a host."""
         await asyncio.sleep(self.lag_ms / 1000)
         self._hosts.pop(name, None)
-        await self._note(name)
+        await self._record_change(name)
 
     def get(self, name: str) -> HostBody | None:
         """Return a host, or None."""
@@ -41,7 +41,7 @@
         hosts = [self._hosts[name] for name in names if name in self._hosts]
         return hosts, [name for name in names if name not in self._hosts]
 
-    async def _note(self, name: str) -> None:
+    async def _record_change(self, name: str) -> None:
         self.revision += 1
         self._revisions[name] = self.revision
         async with self.changed:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/object_store.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/object_store.py
@@ -8,7 +8,7 @@
 PAGE_OBJECTS = 200
 
 
-class Held(NamedTuple):
+class ObjectVersion(NamedTuple):
     """An object with its version and the store's revision of its last write."""
 
     body: bytes
@@ -20,11 +20,11 @@
     """Conditional updates and a revision that watches wait on."""
 
     def __init__(self) -> None:
-        self._objects: dict[str, Held] = {}
+        self._objects: dict[str, ObjectVersion] = {}
         self.revision = 0
         self.changed = asyncio.Condition()
 
-    def read(self, name: str) -> Held | None:
+    def read(self, name: str) -> ObjectVersion | None:
         """Return an object, or None."""
         return self._objects.get(name)
 
@@ -35,17 +35,19 @@
         if version != expected_version:
             return 0
         self.revision += 1
-        self._objects[name] = Held(body, version + 1, self.revision)
+        self._objects[name] = ObjectVersion(body, version + 1, self.revision)
         async with self.changed:
             self.changed.notify_all()
         return version + 1
 
-    def list_after(self, prefix: str, after: str) -> list[tuple[str, Held]]:
+    def list_after(self, prefix: str, after: str) -> list[tuple[str, ObjectVersion]]:
         """Return a page of a prefix's objects with names after a name."""
         names = sorted(n for n in self._objects if n.startswith(prefix) and n > after)
         return [(name, self._objects[name]) for name in names[:PAGE_OBJECTS]]
 
-    def written_after(self, prefix: str, revision: int) -> list[tuple[str, Held]]:
+    def written_after(
+        self, prefix: str, revision: int
+    ) -> list[tuple[str, ObjectVersion]]:
         """Return a prefix's objects that were written after a revision."""
         return [
             (name, held)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/platform_server.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/platform_server.py
@@ -13,12 +13,12 @@
 
 from clementineyoke_standins.platform.faults import PlatformFaults
 from clementineyoke_standins.platform.host_registry import HostRegistry
-from clementineyoke_standins.platform.object_store import Held, ObjectStore
+from clementineyoke_standins.platform.object_store import ObjectStore, ObjectVersion
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-LARGEST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 
 
 class PlatformServer:
@@ -32,7 +32,7 @@
 
     def application(self) -> web.Application:
         """Return the application with its routes."""
-        app = web.Application(client_max_size=LARGEST_VALUE_BYTES)
+        app = web.Application(client_max_size=MAX_VALUE_BYTES)
         router = app.router
         router.add_get("/objects", self._counted("list", self._list))
         router.add_get("/objects/{name:.+}", self._counted("read", self._read))
@@ -133,7 +133,7 @@
         return web.json_response(dict(self.calls))
 
 
-def _describe(name: str, held: Held) -> dict[str, Any]:
+def _describe(name: str, held: ObjectVersion) -> dict[str, Any]:
     body = base64.b64encode(held.body).decode()
     return {"name": name, "version": held.version, "body": body}
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/kept_stream.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/kept_stream.py
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterator
 
-GRACE_S = 5.0
+RETENTION_S = 5.0
 """How long an engine works on without a reader, and keeps what it made."""
 
 
-class KeptStream:
+class RetainedStream:
     """Collect an answer's bytes; readers follow from any place."""
 
     def __init__(self) -> None:
         self._body = bytearray()
         self._grown = asyncio.Condition()
         self._readers = 0
-        self.is_ended = False
-        self.left_s = 0.0
+        self.is_complete = False
+        self.last_read_s = 0.0
         """Loop time at which the last reader went."""
 
     async def add(self, chunk: bytes) -> None:
@@ -32,13 +32,13 @@
 
     async def end(self) -> None:
         """Note that nothing more will come."""
-        self.is_ended = True
+        self.is_complete = True
         await self.add(b"")
 
     def is_abandoned(self) -> bool:
         """Whether nobody has read for the grace time."""
         now_s = asyncio.get_running_loop().time()
-        return self._readers == 0 and now_s - self.left_s > GRACE_S
+        return self._readers == 0 and now_s - self.last_read_s > RETENTION_S
 
     @contextmanager
     def reader(self) -> Iterator[None]:
@@ -48,19 +48,19 @@
             yield
         finally:
             self._readers -= 1
-            self.left_s = asyncio.get_running_loop().time()
+            self.last_read_s = asyncio.get_running_loop().time()
 
-    async def read_from(self, after: int) -> AsyncIterator[bytes]:
+    async def read_from(self, offset: int) -> AsyncIterator[bytes]:
         """Yield the bytes after a place, as they come, to the end."""
-        place = after
+        place = offset
         while True:
             if place < len(self._body):
                 chunk = bytes(self._body[place:])
                 place += len(chunk)
                 yield chunk
                 continue
-            if self.is_ended:
+            if self.is_complete:
                 return
             async with self._grown:
-                if place >= len(self._body) and not self.is_ended:
+                if place >= len(self._body) and not self.is_complete:
                     await self._grown.wait()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from clementineyoke_standins.runners.kept_stream import GRACE_S, KeptStream
+from clementineyoke_standins.runners.kept_stream import RETENTION_S, RetainedStream
 from clementineyoke_standins.runners.prefix_cache import PrefixCache
 from clementineyoke_standins.runners.standin_runner import StandinRunner
 from clementineyoke_wire import headers
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterator
 
-CHARACTERS_A_MS = 40.0
+CHARACTERS_PER_MS = 40.0
 """Speed of reading a prompt that is not cached."""
 TOKEN_MS = 4.0
 """Time between tokens of an otherwise idle engine."""
@@ -35,7 +35,7 @@
         self._slots = slots
         self._cache = PrefixCache(capacity_characters=CACHE_CHARACTERS)
         self._running = 0
-        self._streams: dict[str, KeptStream] = {}
+        self._streams: dict[str, RetainedStream] = {}
         self.stats: Counter[str] = Counter()
         self.peak_running = 0
 
@@ -57,13 +57,13 @@
         self.last_start_s = time.time()
         self.stats["chats"] += 1
         try:
-            return await self._answer(request, body)
+            return await self._respond(request, body)
         except (asyncio.CancelledError, ConnectionError):
             self.stats["cancelled"] += 1
             raise
 
     @contextmanager
-    def _work(self) -> Iterator[None]:
+    def _count_running(self) -> Iterator[None]:
         self._running += 1
         self.peak_running = max(self.peak_running, self._running)
         try:
@@ -71,7 +71,7 @@
         finally:
             self._running -= 1
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, body: dict[str, Any]
     ) -> web.StreamResponse:
         await asyncio.sleep(self.faults.stall_ms / 1000)
@@ -79,19 +79,19 @@
         cached = self._cache.use(str(body.get("user", prompt[:256])), prompt)
         self.stats["prompt_characters"] += len(prompt)
         self.stats["cached_characters"] += cached
-        await asyncio.sleep((len(prompt) - cached) / CHARACTERS_A_MS / 1000)
-        if self._take_fault(request, "break_before"):
+        await asyncio.sleep((len(prompt) - cached) / CHARACTERS_PER_MS / 1000)
+        if self._inject_disconnect(request, "break_before"):
             return web.Response()
         tokens = int(body.get("max_tokens", DEFAULT_TOKENS))
         if body.get("stream"):
             padding = "x" * int(body.get("pad_characters", 0))
             return await self._stream(request, tokens, padding)
-        return await self._whole(request, tokens, prompt)
+        return await self._respond_complete(request, tokens, prompt)
 
-    async def _whole(
+    async def _respond_complete(
         self, request: web.Request, tokens: int, prompt: str
     ) -> web.StreamResponse:
-        with self._work():
+        with self._count_running():
             text = "".join([word async for word in self._generate(request, tokens)])
         body = {
             "object": "chat.completion",
@@ -104,15 +104,15 @@
         self, request: web.Request, tokens: int, padding: str
     ) -> web.StreamResponse:
         request_id = request.headers.get(headers.REQUEST_ID, "")
-        kept = KeptStream()
+        kept = RetainedStream()
         resumable = headers.RESUMABLE in request.headers
         work = asyncio.create_task(self._fill(request, kept, tokens, padding))
         if resumable:
             self._streams[request_id] = kept
-            work.add_done_callback(lambda _: self._forget_later(request_id))
+            work.add_done_callback(lambda _: self._schedule_removal(request_id))
         cut_at = tokens // 2 if self.faults.break_after else -1
         try:
-            return await self._send(request, kept, after=0, cut_at=cut_at)
+            return await self._send(request, kept, offset=0, cut_at=cut_at)
         finally:
             if not resumable:
                 work.cancel()
@@ -123,44 +123,49 @@
             sent = self._headers(request)
             return web.json_response({"error": "gone"}, status=404, headers=sent)
         self.stats["resumed"] += 1
-        return await self._send(request, kept, after=int(request.query["after"]))
+        return await self._send(request, kept, offset=int(request.query["after"]))
 
     async def _send(
-        self, request: web.Request, kept: KeptStream, *, after: int, cut_at: int = -1
+        self,
+        request: web.Request,
+        stream: RetainedStream,
+        *,
+        offset: int,
+        cut_at: int = -1,
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=self._headers(request))
         response.content_type = "text/event-stream"
         response.enable_chunked_encoding()
         await response.prepare(request)
         index = 0
-        with kept.reader():
-            async for chunk in kept.read_from(after):
+        with stream.reader():
+            async for chunk in stream.read_from(offset):
                 await response.write(chunk)
-                if index == cut_at and self._take_fault(request, "break_after"):
+                if index == cut_at and self._inject_disconnect(request, "break_after"):
                     return response
                 index += 1
         await response.write_eof()
         return response
 
     async def _fill(
-        self, request: web.Request, kept: KeptStream, tokens: int, padding: str
+        self, request: web.Request, stream: RetainedStream, tokens: int, padding: str
     ) -> None:
-        with self._work():
+        with self._count_running():
             async for word in self._generate(request, tokens):
                 delta = {"content": word + padding}
                 chunk = json.dumps({"choices": [{"delta": delta}]})
-                await kept.add(f"data: {chunk}\n\n".encode())
-                if kept.left_s and kept.is_abandoned():
+                await stream.add(f"data: {chunk}\n\n".encode())
+                if stream.last_read_s and stream.is_abandoned():
                     self.stats["abandoned"] += 1
                     break
             else:
-                if not self._take_count("no_end_mark"):
-                    await kept.add(b"data: [DONE]\n\n")
-        await kept.end()
+                if not self._consume_fault("no_end_mark"):
+                    await stream.add(b"data: [DONE]\n\n")
+        await stream.end()
 
-    def _forget_later(self, request_id: str) -> None:
+    def _schedule_removal(self, request_id: str) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(GRACE_S, self._streams.pop, request_id, None)
+        loop.call_later(RETENTION_S, self._streams.pop, request_id, None)
 
     async def _generate(self, request: web.Request, tokens: int) -> AsyncIterator[str]:
         # Each word names the request, so that a reader finds any crossed answer.
@@ -172,18 +177,18 @@
 
     def _headers(self, request: web.Request) -> dict[str, str]:
         echoed = request.headers.get(headers.REQUEST_ID, "")
-        if self._take_count("crossed"):
+        if self._consume_fault("crossed"):
             echoed = "someone-else"
         return {headers.REQUEST_ID: echoed}
 
-    def _take_fault(self, request: web.Request, name: str) -> bool:
-        if not self._take_count(name):
+    def _inject_disconnect(self, request: web.Request, name: str) -> bool:
+        if not self._consume_fault(name):
             return False
         if request.transport is not None:
             request.transport.abort()
         return True
 
-    def _take_count(self, name: str) -> bool:
+    def _consume_fault(self, name: str) -> bool:
         left = getattr(self.faults, name)
         if left <= 0:
             return False
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
@@ -46,10 +46,10 @@
         done = {"done": mark, "by": self._runner_id}
         sent = {headers.REQUEST_ID: echoed}
         if self.faults.padding_bytes:
-            return await self._answer_in_parts(request, done, sent)
+            return await self._respond_in_parts(request, done, sent)
         return web.json_response(done, headers=sent)
 
-    async def _answer_in_parts(
+    async def _respond_in_parts(
         self, request: web.Request, done: dict[str, str], sent: dict[str, str]
     ) -> web.StreamResponse:
         padded = done | {"padding": "x" * self.faults.padding_bytes}
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/standin_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/standin_runner.py
@@ -9,7 +9,7 @@
 
 from clementineyoke_standins.runners.runner_faults import RunnerFaults
 
-LARGEST_BODY_BYTES = 8_000_000
+MAX_BODY_BYTES = 8_000_000
 
 
 class StandinRunner:
@@ -23,7 +23,7 @@
 
     def application(self) -> web.Application:
         """Return the application with its routes."""
-        app = web.Application(client_max_size=LARGEST_BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_get("/ready", self._ready)
         app.router.add_get("/stats", self._get_stats)
         app.router.add_put("/faults", self._set_faults)
--- a/packages/clementineyoke-standins/tests/steps/experiment_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/experiment_steps.py
@@ -5,7 +5,11 @@
 
 from behave import given, then, when
 
-from clementineyoke_standins.experiment.day_player import Case, DayPlayer, Play
+from clementineyoke_standins.experiment.day_player import (
+    ArmRun,
+    BenchmarkLauncher,
+    Case,
+)
 from clementineyoke_standins.experiment.day_report import read_report
 from clementineyoke_standins.experiment.paired_difference import compare
 
@@ -32,7 +36,7 @@
 
 @then("its figures hold the worth, the amount and price of the calls, and the rule")
 def check_figures(context):
-    assert context.report.figures() == {
+    assert context.report.metrics() == {
         "worth": 0.5,
         "broken rules": 1.0,
         "prices": 0.02,
@@ -85,7 +89,7 @@
 
 @when("a play of a small twin is put together")
 def put_together(context):
-    player = DayPlayer(
+    player = BenchmarkLauncher(
         bench=Path("bench"),
         arms={"new": Path("new")},
         folder=Path("folder"),
@@ -94,7 +98,7 @@
         charges_cpu=True,
         is_small=True,
     )
-    context.play = Play("new", Case("/sites/large.toml", DAY, 7))
+    context.play = ArmRun("new", Case("/sites/large.toml", DAY, 7))
     context.arguments = player._arguments(context.play, Path("report"))
 
 
