--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/__init__.py
@@ -1,3 +1,3 @@
-"""Measure how state, bytes and processor time grow, and fit a line to each."""
+"""Capacity measurements: growth of memory, messages and CPU time, with fitted lines."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/slope.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/slope.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points."""
+"""Linear fit of measured points."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class Slope(NamedTuple):
-    """How something grows: ``offset + rate * x``, and how well that fits."""
+    """Linear growth ``offset + rate * x`` of a measured quantity, and the fit error."""
 
     name: str
     unit: str
     per: str
-    """What x counts."""
+    """Unit of x."""
     rate: float
     offset: float
     worst_error: float
-    """Largest distance of a point from the line, as a share of the largest value."""
+    """Largest residual, as a share of the largest measured value."""
     points: list[tuple[float, float]]
 
     def at(self, x: float) -> float:
-        """Return the value that the line gives."""
+        """Return the fitted value at x."""
         return self.offset + self.rate * x
 
 
 def fit(name: str, *, unit: str, per: str, points: list[tuple[float, float]]) -> Slope:
-    """Return the least-squares line through at least four points."""
+    """Return the least-squares line through the points, at least four of them."""
     xs = np.array([x for x, _ in points])
     ys = np.array([y for _, y in points])
     rate, offset = np.polyfit(xs, ys, 1)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/state_slopes.py
@@ -1,4 +1,4 @@
-"""Bytes of state: settings by teams, rings by runners, views by nodes, and more."""
+"""Measures bytes of state by the number of teams, runners, nodes, claims and so on."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def measure_state() -> list[Slope]:
-    """Return every state slope."""
+    """Return the slopes of all kinds of state."""
     return [
         _slope("settings tree", "team", TEAMS, make_tree),
         _slope("runner rings of a region", "runner", RUNNERS, _make_rings),
@@ -62,7 +62,7 @@
 
 
 def make_tree(teams: int) -> SettingsTree:
-    """Return a tree of teams that each say a few things of their own."""
+    """Return a settings tree in which every team has a few settings of its own."""
     rng = Random(1)
     tree = SettingsTree()
     edits: dict[str, dict[str, Any] | None] = {
@@ -107,68 +107,68 @@
 
 
 def _make_membership(nodes: int) -> Membership:
-    listed = [
+    members = [
         Node(f"node-{n}", f"10.1.{n // 250}.{n % 250}", 1, 2, f"z{n % 11}", f"r{n % 3}")
         for n in range(nodes)
     ]
-    view = Membership(local_node=listed[0], incarnation=1, rng=Random(1))
-    view.apply_host_list(live=listed, leaving=[])
-    for node in listed[1:]:
+    view = Membership(local_node=members[0], incarnation=1, rng=Random(1))
+    view.apply_host_list(live=members, leaving=[])
+    for node in members[1:]:
         view.record_message(node.node_id, incarnation=7)
     return view
 
 
-def _make_ledger(holds: int) -> SlotLedger:
+def _make_ledger(held_slots: int) -> SlotLedger:
     ledger = SlotLedger()
-    for n in range(holds):
-        hold = SlotHolder(f"10.0.0.{n % 137}:8081", 10**6 + n)
-        ledger.acquire(f"engine-{n % 9}", hold, bound=holds, now_ms=float(n))
+    for n in range(held_slots):
+        holder = SlotHolder(f"10.0.0.{n % 137}:8081", 10**6 + n)
+        ledger.acquire(f"engine-{n % 9}", holder, bound=held_slots, now_ms=float(n))
     return ledger
 
 
 def make_chain(claims: int) -> ClaimChain:
-    """Return a shard's chain whose open segment holds claims, as written once."""
+    """Return a shard's chain whose open segment holds claims and was written once."""
     chain = ClaimChain(shard="claims/0")
     chain.load(ChainRead(0, INITIAL_HEAD, {0: StoredSegment(0, None)}))
-    asks = [
+    claim_attempts = [
         ClaimAttempt(f"{n:024x}", f"node-{n % 410}.6ab1.{n:x}", f"{n:012x}")
         for n in range(claims)
     ]
-    write = chain.next_write(asks, [], wall_ms=WALL_MS)
+    write = chain.next_write(claim_attempts, [], wall_ms=WALL_MS)
     chain.record_written(write, version=1)
     return chain
 
 
 def make_crashes(requests: int) -> CrashRecords:
-    """Return records of requests that each stood on two runners when these ended."""
+    """Return records of requests that were each running on two runners that crashed."""
     records = CrashRecords()
     for number in range(requests):
         digest = number.to_bytes(DIGEST_BYTES, "big")
-        for end in range(CRASHES_PER_REQUEST):
+        for crash in range(CRASHES_PER_REQUEST):
             records.record_crash(
                 digest,
-                lifetime=f"i-{number // CALLS_PER_RUNNER:08x}{end:02x}@{WALL_MS}",
-                sent_ms=1_000.0 * end,
-                crashed_ms=1_000.0 * end + 100.0,
+                lifetime=f"i-{number // CALLS_PER_RUNNER:08x}{crash:02x}@{WALL_MS}",
+                sent_ms=1_000.0 * crash,
+                crashed_ms=1_000.0 * crash + 100.0,
             )
     return records
 
 
 def _slope(
-    name: str, per: str, sizes: tuple[int, ...], make: Callable[[int], object]
+    name: str, per: str, sizes: tuple[int, ...], build: Callable[[int], object]
 ) -> Slope:
-    points = [(float(size), _measure_bytes(make, size)) for size in sizes]
+    points = [(float(size), _measure_bytes(build, size)) for size in sizes]
     return fit(f"state: {name}", unit="bytes", per=per, points=points)
 
 
-def _measure_bytes(make: Callable[[int], object], size: int) -> float:
+def _measure_bytes(build: Callable[[int], object], size: int) -> float:
     gc.collect()
     tracemalloc.start()
-    kept = make(size)
+    instance = build(size)
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del instance
     return float(used)
 
 
@@ -208,11 +208,11 @@
 
 
 def _make_teams(teams: int) -> RouteTable:
-    keyed = tuple(
+    keyed_teams = tuple(
         Team(f"team-{number}", (f"key-{number:020}", f"old-{number:020}"), 1)
         for number in range(teams)
     )
-    return _make_route_table((), keyed)
+    return _make_route_table((), keyed_teams)
 
 
 def _make_route_table(routes: tuple[Route, ...], teams: tuple[Team, ...]) -> RouteTable:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
@@ -1,4 +1,4 @@
-"""Processor time of streaming: a node's core for each event and each request."""
+"""Measures a node's CPU time by streamed events, and its memory by response size."""
 
 from __future__ import annotations
 
@@ -29,11 +29,16 @@
 
 
 def measure_streams() -> list[Slope]:
-    """Return processor time by events, and a node's memory by an answer's size."""
-    work, memory = asyncio.run(_measure())
+    """Return CPU time by events per request, and peak memory by response size."""
+    cpu_us, memory_bytes = asyncio.run(_measure())
     return [
-        fit("work: streamed request", unit="us", per="event", points=work),
-        fit("memory: relay to a slow reader", unit="bytes", per="MB", points=memory),
+        fit("work: streamed request", unit="us", per="event", points=cpu_us),
+        fit(
+            "memory: relay to a slow reader",
+            unit="bytes",
+            per="MB",
+            points=memory_bytes,
+        ),
     ]
 
 
@@ -47,12 +52,12 @@
         await operator_client(admin_url(node)).change_settings(change)
         await fleet.wait_answering(f"{admin_url(node)}/ready")
         async with aiohttp.ClientSession() as session:
-            work = await _measure_work(fleet, node, session)
-            memory = await _measure_memory(fleet, node, session)
-        return work, memory
+            cpu_us = await _measure_cpu(fleet, node, session)
+            memory_bytes = await _measure_memory(fleet, node, session)
+        return cpu_us, memory_bytes
 
 
-async def _measure_work(
+async def _measure_cpu(
     fleet: FleetProcesses, node: HostBody, session: aiohttp.ClientSession
 ) -> Points:
     points = []
@@ -68,13 +73,13 @@
 async def _measure_memory(
     fleet: FleetProcesses, node: HostBody, session: aiohttp.ClientSession
 ) -> Points:
-    """Return how far the node's peak memory rose, from small answers to large."""
-    before = fleet.peak_memory_bytes(node["host"])
+    """Return the growth of the node's peak memory, from small responses to large."""
+    baseline_bytes = fleet.peak_memory_bytes(node["host"])
     points = []
     for megabytes in RESPONSE_MEGABYTES:
         await _read_slowly(session, caller_url(node), megabytes)
-        peak = fleet.peak_memory_bytes(node["host"])
-        points.append((float(megabytes), float(peak - before)))
+        peak_bytes = fleet.peak_memory_bytes(node["host"])
+        points.append((float(megabytes), float(peak_bytes - baseline_bytes)))
     return points
 
 
@@ -84,13 +89,13 @@
     body = _chat_body(megabytes) | {"pad_characters": MEGABYTE}
     async with session.post(
         f"{url}/v1/chat/completions", json=body, headers=_headers(0)
-    ) as answer:
+    ) as response:
         received = 0
-        async for chunk in answer.content.iter_chunked(MEGABYTE):
+        async for chunk in response.content.iter_chunked(MEGABYTE):
             received += len(chunk)
             await asyncio.sleep(READ_PAUSE_S)
     if received < megabytes * MEGABYTE:
-        message = f"{received} bytes came of an answer of {megabytes} MB"
+        message = f"response truncated: got {received} bytes of {megabytes} MB"
         raise RuntimeError(message)
 
 
@@ -122,8 +127,8 @@
     path = f"{url}/v1/chat/completions"
     async with session.post(
         path, json=_chat_body(tokens), headers=_headers(number)
-    ) as answer:
-        text = await answer.read()
+    ) as response:
+        text = await response.read()
     if b"[DONE]" not in text:
-        message = f"a stream of the capacity run was not whole: {text[-200:]!r}"
+        message = f"stream ended without [DONE]; last bytes: {text[-200:]!r}"
         raise RuntimeError(message)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
@@ -1,4 +1,4 @@
-"""Processor time: messages, claim writes, settings changes, rings, rounds."""
+"""Measures CPU time of messages, claim writes, settings changes, rings and gossip."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 CHANGES = (100, 200, 400, 800)
 POOLS = 8
 MEAN_BODY_BYTES = 12_000
-"""Of the kind of request with the largest mean but one that was seen."""
+"""Second largest mean body size of all kinds of requests that were observed."""
 
 
 def measure_work() -> list[Slope]:
-    """Return every slope of processor time."""
+    """Return the slopes of CPU time of all operations."""
     return [
         _slope("slot ask, encode to decode", "message", COUNTS, _run_slot_messages),
         _slope("gossip of 8 pools, both ways", "round", COUNTS, _run_gossip),
@@ -65,10 +65,10 @@
     return fit(f"work: {name}", unit="us", per=per, points=points)
 
 
-def _measure_cpu_s(work: Callable[[], object]) -> float:
-    began_s = time.process_time()
-    work()
-    return time.process_time() - began_s
+def _measure_cpu_s(operation: Callable[[], object]) -> float:
+    started_s = time.process_time()
+    operation()
+    return time.process_time() - started_s
 
 
 def _round_trip(seal: Seal, message: Message) -> None:
@@ -80,70 +80,70 @@
     seal = Seal(keys=["key"])
     runner = hash_text("engine-1")
 
-    def work() -> None:
+    def operation() -> None:
         for number in range(count):
             _round_trip(seal, SlotAsk(number, runner, 0.0))
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_gossip(count: int) -> float:
     seal = Seal(keys=["key"])
-    means = [MeanLoadEstimator(), MeanLoadEstimator()]
-    for mean in means:
+    estimators = [MeanLoadEstimator(), MeanLoadEstimator()]
+    for estimator in estimators:
         for pool in range(POOLS):
-            mean.set_local(f"model-{pool}", load=9.0, runners=1.0)
+            estimator.set_local(f"model-{pool}", load=9.0, runners=1.0)
     loads = [PoolLoad(hash_text(f"model-{n}"), 9.0, 1.0) for n in range(POOLS)]
 
-    def work() -> None:
+    def operation() -> None:
         for number in range(count):
-            pushed = means[0].begin_round()
+            pushed = estimators[0].begin_round()
             _round_trip(seal, Gossip(number, False, 1, loads, []))
-            replied = means[1].merge(pushed)
+            replied = estimators[1].merge(pushed)
             _round_trip(seal, Gossip(number, True, 1, loads, []))
-            means[0].finish_round(pushed=pushed, replied=replied)
+            estimators[0].finish_round(pushed=pushed, replied=replied)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_reports(count: int) -> float:
     seal = Seal(keys=["key"])
     records = CrashRecords()
 
-    def work() -> None:
+    def operation() -> None:
         for number in range(count):
             digest = number.to_bytes(DIGEST_BYTES, "big")
             runner = f"i-{number:010x}"
             _round_trip(seal, CrashReport(digest, runner, 900, 25))
             records.record_crash(digest, lifetime=runner, sent_ms=0.0, crashed_ms=900.0)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_checks(count: int) -> float:
     records = make_crashes(MAX_RECORDS)
     body = bytes(MEAN_BODY_BYTES)
 
-    def work() -> None:
+    def operation() -> None:
         for number in range(count):
             digest = request_digest(
                 team="team", method="POST", target=f"/path/{number}", body=body
             )
             records.refused_for_ms(digest, now_ms=2_000.0)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_ledger(count: int) -> float:
     ledger = SlotLedger()
 
-    def work() -> None:
+    def operation() -> None:
         for number in range(count):
-            hold = SlotHolder("10.0.0.1:8081", number)
-            ledger.acquire("engine-1", hold, bound=64, now_ms=0.0)
-            ledger.release("engine-1", hold)
+            holder = SlotHolder("10.0.0.1:8081", number)
+            ledger.acquire("engine-1", holder, bound=64, now_ms=0.0)
+            ledger.release("engine-1", holder)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_changes(count: int) -> float:
@@ -161,21 +161,21 @@
         for version in range(1, count + 1)
     ]
 
-    def work() -> None:
+    def operation() -> None:
         for change in changes:
             log.apply(change)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_segment_write(claims: int) -> float:
     chain = make_chain(claims)
 
-    def work() -> None:
+    def operation() -> None:
         write = chain.next_write([], [], wall_ms=WALL_MS + 1)
         chain.record_written(write, version=2)
 
-    return _measure_cpu_s(work)
+    return _measure_cpu_s(operation)
 
 
 def _run_ring(runners: int) -> float:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/__init__.py
@@ -1,3 +1,3 @@
-"""Command lines of the tools; they only parse and print."""
+"""Command-line entry points; they only parse options and print results."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/bench.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/bench.py
@@ -1,4 +1,4 @@
-"""``make bench``: measure, compare with the committed bounds, write and draw."""
+"""``make bench``: run the benchmark and compare it with the committed bounds."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 def run(seed: int = 1, quick: bool = False) -> None:
-    """Run the bench; exits 1 when a bound is broken.
+    """Run the benchmark, write ``build/bench.json`` and exit 1 if a bound is broken.
 
     Args:
         seed: Seed of all randomness.
-        quick: Only the cases in virtual time, whose figures never vary (for CI).
+        quick: Run only the cases in virtual time, whose results are deterministic (CI).
 
     """
     log_as_json("ERROR")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/capacity.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/capacity.py
@@ -1,4 +1,4 @@
-"""``make capacity``: measure all slopes, write them as JSON and draw them."""
+"""``make capacity``: measure all slopes, write them as JSON and plot them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Measure, print, write ``build/capacity.json`` and draw the lines."""
+    """Measure and print all slopes; write ``build/capacity.json`` and a plot."""
     log_as_json("ERROR")
     slopes = [*measure_state(), *measure_work(), *measure_streams()]
     BUILD.mkdir(exist_ok=True)
@@ -39,8 +39,8 @@
     figure.savefig(BUILD / "capacity.png")
     for slope in slopes:
         print(
-            f"{slope.name:<42}{slope.rate:>10.3f} {slope.unit} a {slope.per}"
-            f" + {slope.offset:.0f} (off by {slope.worst_error:.1%})"
+            f"{slope.name:<42}{slope.rate:>10.3f} {slope.unit} per {slope.per}"
+            f" + {slope.offset:.0f} (largest error {slope.worst_error:.1%})"
         )
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: play an evening and print the table."""
+"""``make demo``: run the demo scenario and print the result table."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def run(deployment: str = "league", seed: int = 1) -> None:
-    """Play an evening of a deployment (league or coop); exits 1 on a broken promise."""
+    """Run the demo of a deployment (league or coop); exit 1 if a guarantee fails."""
     if deployment not in DEPLOYMENTS:
-        sys.exit(f"no deployment {deployment!r}; there are {', '.join(DEPLOYMENTS)}")
-    evening = DemoScenario(deployment=DEPLOYMENTS[deployment], seed=seed)
-    lines = make_lines(asyncio.run(evening.run()))
+        sys.exit(f"unknown deployment {deployment!r}; use {', '.join(DEPLOYMENTS)}")
+    scenario = DemoScenario(deployment=DEPLOYMENTS[deployment], seed=seed)
+    lines = make_lines(asyncio.run(scenario.run()))
     print(render(lines))
     if any(line.is_met is False for line in lines):
         sys.exit(1)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/events.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/events.py
@@ -1,4 +1,4 @@
-"""``make events``: write the event catalogue, or check that it fits the code."""
+"""``make events``: write the event catalogue, or check that it is up to date."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(check: bool = False) -> None:
-    """Write docs/events.md; with --check only compare, and exit 1 on a difference."""
+    """Write docs/events.md, or exit 1 with ``--check`` if it differs from the code."""
     numbers = [event.value.number for event in Event]
     if len(numbers) != len(set(numbers)):
         sys.exit("two events have the same number")
@@ -21,7 +21,7 @@
         CATALOGUE.write_text(render_catalogue(), encoding="utf-8")
         return
     if CATALOGUE.read_text(encoding="utf-8") != render_catalogue():
-        sys.exit(f"{CATALOGUE} does not fit the code; run make events")
+        sys.exit(f"{CATALOGUE} is out of date; run make events")
 
 
 if __name__ == "__main__":
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
@@ -1,4 +1,4 @@
-"""``make experiment``: arms of the code on the same days and seeds, with intervals."""
+"""``make experiment``: compare versions of the code on the same days and seeds."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 FOLDER = Path("build/experiment")
 MIN_SHOWN_DIFFERENCE = 0.0005
-"""Differences of prices and parts under this are not printed."""
+"""Smaller differences are not printed, except that of the worth."""
 ARM_METRICS = (
     "part: whole day",
     "part: worst windows",
@@ -30,10 +30,10 @@
     "part: nines",
     "prices",
 )
-"""Printed for each of several arms where the interval leaves no doubt."""
+"""Printed for each of several arms if the interval excludes zero."""
 Pairs = list[tuple["DayReport", "DayReport"]]
 ReportsByArm = dict[str, list["DayReport | None"]]
-"""Reports of each arm, in the order of the cases."""
+"""Reports by arm, in the order of the cases; None where a run gave no report."""
 
 
 def run(
@@ -50,20 +50,20 @@
     small: bool = False,
     name: str = "experiment",
 ) -> None:
-    """Play arms, given as ``old=DIR,new=DIR``, on each site, day and seed.
+    """Run arms, given as ``old=DIR,new=DIR``, on each site, day and seed.
 
-    DIR is a work tree; a day is a name or the path of a TOML file; with ``small`` the
-    small twins of large days are played, for many seeds. Compares each arm with the
-    first one: prints the paired differences with their 95% intervals, one line an arm,
-    or every figure if there are only two arms; writes all to
-    ``build/experiment/NAME.json`` with a plot beside it.
+    DIR is a work tree; a day is a name or the path of a TOML file. With ``small``,
+    scaled-down variants of large days are run, which allows many seeds. Compares each
+    arm with the first one and prints the paired differences with their 95% intervals,
+    all metrics for two arms or a summary per arm for more. Writes all differences to
+    ``build/experiment/NAME.json``, and a plot per arm to the same folder.
     """
-    places = dict(entry.split("=", 1) for entry in _split_option(arms))
+    work_trees = dict(entry.split("=", 1) for entry in _split_option(arms))
     folder = (FOLDER / name).resolve()
     folder.mkdir(parents=True, exist_ok=True)
-    player = BenchmarkLauncher(
+    launcher = BenchmarkLauncher(
         bench=Path(bench).resolve(),
-        arms={arm: Path(place).resolve() for arm, place in places.items()},
+        arms={arm: Path(work_tree).resolve() for arm, work_tree in work_trees.items()},
         folder=folder,
         why=why,
         jobs=jobs,
@@ -76,56 +76,58 @@
         for day in _split_option(days)
         for seed in range(first_seed, first_seed + seeds)
     ]
-    played = asyncio.run(_run_all(player, list(places), cases))
-    _report(played, FOLDER / f"{name}.json")
+    reports_by_arm = asyncio.run(_run_all(launcher, list(work_trees), cases))
+    _report(reports_by_arm, FOLDER / f"{name}.json")
 
 
 def _resolve_day(word: str) -> str:
-    """Return a day's name as it is, and the path of a day of our own made absolute."""
+    """Return the name of a day unchanged, and the path of a TOML file made absolute."""
     return str(Path(word).resolve()) if word.endswith(".toml") else word
 
 
 def _split_option(text: object) -> list[str]:
-    """Return the words of an option, which ``fire`` may have split already."""
+    """Split an option at commas, unless ``fire`` has already done so."""
     if isinstance(text, list | tuple):
         return [str(word) for word in text]
     return str(text).split(",")
 
 
 async def _run_all(
-    player: BenchmarkLauncher, arms: list[str], cases: list[Case]
+    launcher: BenchmarkLauncher, arms: list[str], cases: list[Case]
 ) -> ReportsByArm:
-    played: ReportsByArm = {arm: [None] * len(cases) for arm in arms}
+    reports_by_arm: ReportsByArm = {arm: [None] * len(cases) for arm in arms}
 
-    async def play_case(index: int, case: Case) -> None:
-        reports = await asyncio.gather(*(player.run(ArmRun(arm, case)) for arm in arms))
+    async def run_case(index: int, case: Case) -> None:
+        reports = await asyncio.gather(
+            *(launcher.run(ArmRun(arm, case)) for arm in arms)
+        )
         for arm, report in zip(arms, reports, strict=True):
-            played[arm][index] = report
+            reports_by_arm[arm][index] = report
         worths = " ".join("-" if r is None else f"{r.worth:.3f}" for r in reports)
         print(f"{case.day} {case.seed}: {worths}", flush=True)
 
-    await asyncio.gather(*(play_case(*numbered) for numbered in enumerate(cases)))
-    return played
+    await asyncio.gather(*(run_case(*numbered) for numbered in enumerate(cases)))
+    return reports_by_arm
 
 
-def _report(played: ReportsByArm, path: Path) -> None:
-    first, *others = played
-    found: dict[str, dict[str, PairedDifference]] = {}
+def _report(reports_by_arm: ReportsByArm, path: Path) -> None:
+    first, *others = reports_by_arm
+    results: dict[str, dict[str, PairedDifference]] = {}
     for arm in others:
-        pairs = _complete_pairs(played[first], played[arm])
+        pairs = _complete_pairs(reports_by_arm[first], reports_by_arm[arm])
         if not pairs:
-            print(f"{arm}: no pairs were played")
+            print(f"{arm}: no pair of runs gave two reports")
             continue
-        found[arm] = _compare_metrics(pairs)
+        results[arm] = _compare_metrics(pairs)
         _plot(pairs, (first, arm), path.with_name(f"{path.stem}-{arm}.png"))
     if len(others) == 1:
-        for differences in found.values():
+        for differences in results.values():
             _print_metrics(differences)
     else:
-        _print_arms(found)
+        _print_arms(results)
     document = {
         arm: {name: result._asdict() for name, result in differences.items()}
-        for arm, differences in found.items()
+        for arm, differences in results.items()
     }
     path.write_text(json.dumps(document, indent=1))
 
@@ -133,39 +135,43 @@
 def _complete_pairs(
     first: list[DayReport | None], second: list[DayReport | None]
 ) -> Pairs:
-    both = zip(first, second, strict=True)
-    return [(one, two) for one, two in both if one is not None and two is not None]
+    reports = zip(first, second, strict=True)
+    return [(one, two) for one, two in reports if one is not None and two is not None]
 
 
-def _print_metrics(found: dict[str, PairedDifference]) -> None:
-    for figure, result in found.items():
-        if figure == "worth" or abs(result.difference) >= MIN_SHOWN_DIFFERENCE:
-            print(f"{figure:42} {result.first:9.4f} {result.second:9.4f} {result}")
+def _print_metrics(results: dict[str, PairedDifference]) -> None:
+    for metric, result in results.items():
+        if metric == "worth" or abs(result.difference) >= MIN_SHOWN_DIFFERENCE:
+            print(f"{metric:42} {result.first:9.4f} {result.second:9.4f} {result}")
 
 
-def _print_arms(found: dict[str, dict[str, PairedDifference]]) -> None:
-    for arm, differences in found.items():
-        broken = differences["broken rules"].second * differences["broken rules"].pairs
-        print(f"{arm:14} worth {differences['worth']}  rules broken {broken:.0f}")
-        for figure in ARM_METRICS:
-            if figure in differences and differences[figure].is_clear:
-                print(f"{'':14} {figure} {differences[figure]}")
+def _print_arms(results: dict[str, dict[str, PairedDifference]]) -> None:
+    for arm, differences in results.items():
+        broken_count = (
+            differences["broken rules"].second * differences["broken rules"].pairs
+        )
+        print(f"{arm:14} worth {differences['worth']}  rules broken {broken_count:.0f}")
+        for metric in ARM_METRICS:
+            if metric in differences and differences[metric].is_clear:
+                print(f"{'':14} {metric} {differences[metric]}")
 
 
 def _compare_metrics(pairs: Pairs) -> dict[str, PairedDifference]:
-    figures = [(first.metrics(), second.metrics()) for first, second in pairs]
-    names = list(dict.fromkeys(name for both in figures for f in both for name in f))
+    metrics = [(first.metrics(), second.metrics()) for first, second in pairs]
+    names = list(
+        dict.fromkeys(name for pair in metrics for values in pair for name in values)
+    )
     return {
         name: compare(
-            [first.get(name, 0.0) for first, _ in figures],
-            [second.get(name, 0.0) for _, second in figures],
+            [first.get(name, 0.0) for first, _ in metrics],
+            [second.get(name, 0.0) for _, second in metrics],
         )
         for name in names
     }
 
 
 def _plot(pairs: Pairs, arms: tuple[str, str], path: Path) -> None:
-    """Draw each pair's worth; above the line the second arm is better."""
+    """Plot the worth of each pair; above the diagonal the second arm is better."""
     import matplotlib as mpl
 
     mpl.use("Agg")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/faults.py
@@ -1,4 +1,4 @@
-"""``make faults``: every pair of faults under traffic, then an audit."""
+"""``make faults``: inject every pair of faults under traffic, then audit."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 
 def run(deployment: str = "league", seed: int = 1, pairs: int = ALL_PAIRS) -> None:
-    """Play pairs of faults (all, or the first few); exits 1 if a promise broke."""
-    played = FaultRun(deployment=DEPLOYMENTS[deployment], seed=seed, most_pairs=pairs)
-    audit = asyncio.run(played.run())
+    """Inject pairs of faults, all or the first few; exit 1 if the audit fails."""
+    fault_run = FaultRun(
+        deployment=DEPLOYMENTS[deployment], seed=seed, most_pairs=pairs
+    )
+    audit = asyncio.run(fault_run.run())
     for name, value in audit._asdict().items():
         print(f"{name:<18}{value}")
-    print(f"{'outcomes':<18}{dict(sorted(played.tally.outcomes.items()))}")
+    print(f"{'outcomes':<18}{dict(sorted(fault_run.tally.outcomes.items()))}")
     if not audit.is_clean:
         sys.exit(1)
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/faulty_node.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/faulty_node.py
@@ -1,4 +1,4 @@
-"""The node's binary with a peer socket that can be partitioned; for fault runs."""
+"""Node process whose peer socket can be partitioned, for fault runs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Run a node as the product does, but for its socket."""
+    """Run a node with ``PartitionedPeerSocket`` instead of the product's socket."""
     NodeService.socket_type = PartitionedPeerSocket
     fire.Fire(run)
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
@@ -1,4 +1,4 @@
-"""``make profile``: where a node's processor time goes on the way of a request."""
+"""``make profile``: break down a node's CPU time per request by module."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ProfiledNode:
-    """Own one node with its stand-ins, all in this process."""
+    """Runs one node with fake runners and a fake store, all in this process."""
 
     def __init__(self) -> None:
         self._stack = AsyncExitStack()
@@ -54,7 +54,7 @@
         await server.setup()
         self._stack.push_async_callback(server.cleanup)
         await web.TCPSite(server, LOCAL, self._store_port).start()
-        await self._fill(store)
+        await self._fill_store(store)
         node = EdgeService(config=self._config())
         await self._stack.enter_async_context(node)
         await node.io.view.ready.wait()
@@ -62,11 +62,11 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End everything."""
+        """Stop the node, the runners and the store."""
         await self._stack.aclose()
 
     async def call(self, path: str, number: int) -> None:
-        """Make one call and read its whole answer."""
+        """Make one call and read the complete response."""
         headers = {
             "Host": HOSTNAME,
             names.CALL_ID: f"call-{number}",
@@ -79,7 +79,7 @@
         async with self._session.post(url, headers=headers) as response:
             await response.read()
 
-    async def _fill(self, store: EdgeStore) -> None:
+    async def _fill_store(self, store: EdgeStore) -> None:
         routes = [
             route_spec(
                 hostname=HOSTNAME,
@@ -131,10 +131,10 @@
 
 
 def run(calls: int = 500, *, path: str = STREAM_PATH) -> None:
-    """Make calls one after the other and print shares of processor time.
+    """Make calls one after the other and print the CPU time of each module.
 
-    The stand-ins and the caller run in the same process: what is theirs is shown apart.
-    Shares count; times are longer than without the profiler.
+    The caller and the fakes run in the same process and are listed separately. Only
+    the shares are meaningful, since the profiler makes every call slower.
     """
     profiler = cProfile.Profile()
     asyncio.run(_measure(profiler, calls, path))
@@ -151,21 +151,23 @@
 
 
 def _report(stats: pstats.Stats, calls: int) -> None:
-    own_s: dict[str, float] = defaultdict(float)
-    for (file, _, _), (_, _, spent_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
-        own_s[_component_of(file)] += spent_s
-    total_s = sum(own_s.values())
-    for part, spent_s in sorted(own_s.items(), key=lambda item: -item[1])[:MAX_ROWS]:
-        print(f"{part:50} {spent_s / total_s:6.1%} {1e6 * spent_s / calls:8.0f} us")
+    cpu_by_component_s: dict[str, float] = defaultdict(float)
+    for (file, _, _), (_, _, cpu_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
+        cpu_by_component_s[_component_of(file)] += cpu_s
+    total_s = sum(cpu_by_component_s.values())
+    for component, cpu_s in sorted(
+        cpu_by_component_s.items(), key=lambda item: -item[1]
+    )[:MAX_ROWS]:
+        print(f"{component:50} {cpu_s / total_s:6.1%} {1e6 * cpu_s / calls:8.0f} us")
 
 
 def _component_of(file: str) -> str:
-    """Return our module, or the library that a file belongs to."""
-    place = file.replace("\\", "/")
-    if PACKAGE_PREFIX in place:
-        return place[place.rindex(PACKAGE_PREFIX) :]
-    if "site-packages/" in place:
-        return place.split("site-packages/")[1].split("/")[0]
+    """Return the project module or the library that a file belongs to."""
+    normalized = file.replace("\\", "/")
+    if PACKAGE_PREFIX in normalized:
+        return normalized[normalized.rindex(PACKAGE_PREFIX) :]
+    if "site-packages/" in normalized:
+        return normalized.split("site-packages/")[1].split("/")[0]
     return "interpreter and standard library"
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/skewed_edge.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/skewed_edge.py
@@ -1,4 +1,4 @@
-"""A node of the soak: the real program, with a time of day that is off."""
+"""Node process of the soak test, with a skewed wall clock."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def main() -> None:
-    """Shift the wall clock by what the soak says, and run the node."""
-    # As the program's own entry does, before anything that takes time to load.
+    """Run the node with its wall clock shifted by the seconds in ``SKEW_VARIABLE``."""
+    # Like the product's entry point, before any import that takes long to load.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from clementineyoke_node.console import edge
     from clementineyoke_node.timers.timer_service import TimerService
 
     skew_ms = int(os.environ.get(SKEW_VARIABLE, "0")) * MS_PER_S
-    true_ms = TimerService.wall_ms
+    read_wall_ms = TimerService.wall_ms
     TimerService.wall_ms = staticmethod(  # type: ignore[method-assign]
-        lambda: true_ms() + skew_ms
+        lambda: read_wall_ms() + skew_ms
     )
     edge.main()
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
@@ -1,4 +1,4 @@
-"""``make soak``: random faults on real node processes, and the promises checked."""
+"""``make soak``: inject random faults into node processes and check guarantees."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 FOLDER = Path("build/soak")
 REGRESSION_SEEDS = Path("samples/soak-seeds.json")
-"""Seeds that have failed once, each with its cause."""
+"""Seeds of earlier failures, each with its cause."""
 LENGTH_S = 14.0
 
 
 class SeedRun(NamedTuple):
-    """A seed to play, and for how long faults begin."""
+    """A seed to run, and for how many seconds new faults are injected."""
 
     seed: int
     length_s: float
     has_crashes: bool = True
-    """Whether requests come that end their runners; not in seeds from before."""
+    """Whether some requests crash their runners; off in older regression seeds."""
     has_zone_work: bool = True
-    """Whether zones are emptied and runners are cold in every second seed."""
+    """Whether zones are evacuated and runners start cold, in every second seed."""
     has_runner_signals: bool = True
-    """Whether runners shed calls, and drain before their entries say so."""
+    """Whether runners shed calls, and drain before their entries show it."""
 
 
 def run(
@@ -38,15 +38,15 @@
     timed: bool = True,
     kept: bool = False,
 ) -> None:
-    """Play seeds such as ``7``, ``1-50`` or ``3,8``; exits 1 if a promise broke.
+    """Run seeds such as ``7``, ``1-50`` or ``3,8``; exit 1 if a guarantee is broken.
 
-    ``--timed=False`` leaves out promises that a busy machine would decide; ``--kept``
-    adds the seeds that have failed before.
+    ``--timed=False`` skips guarantees whose result depends on the load of the machine;
+    ``--kept`` adds the regression seeds.
     """
-    wanted = [SeedRun(seed, length_s) for seed in _parse_seeds(str(seeds))]
+    seed_runs = [SeedRun(seed, length_s) for seed in _parse_seeds(str(seeds))]
     if kept:
         entries = json5.loads(REGRESSION_SEEDS.read_text())
-        wanted += [
+        seed_runs += [
             SeedRun(
                 entry["seed"],
                 entry["length_s"],
@@ -56,22 +56,20 @@
             )
             for entry in entries
         ]
-    reports = [_run_seed(entry, is_timed=timed) for entry in wanted]
+    reports = [_run_seed(entry, is_timed=timed) for entry in seed_runs]
     failed = [report for report in reports if report.broken]
-    print(
-        f"{len(reports) - len(failed)} seeds kept every promise, {len(failed)} did not"
-    )
+    print(f"{len(reports) - len(failed)} seeds passed, {len(failed)} failed")
     if failed:
         sys.exit(1)
 
 
-def _run_seed(wanted: SeedRun, *, is_timed: bool) -> SoakReport:
-    folder = FOLDER / f"seed-{wanted.seed}"
-    played = SoakRun(**wanted._asdict(), folder=folder, is_timed=is_timed)
-    report = asyncio.run(played.run())
+def _run_seed(seed_run: SeedRun, *, is_timed: bool) -> SoakReport:
+    folder = FOLDER / f"seed-{seed_run.seed}"
+    soak_run = SoakRun(**seed_run._asdict(), folder=folder, is_timed=is_timed)
+    report = asyncio.run(soak_run.run())
     print(
         f"seed {report.seed}: {report.calls} calls, {report.served} served,"
-        f" {len(report.faults)} faults, all serve {report.recovered_s:.1f} s after"
+        f" {len(report.faults)} faults, recovered after {report.recovered_s:.1f} s"
     )
     for line in report.broken:
         print(f"  BROKEN {line}")
@@ -82,13 +80,13 @@
 
 
 def _parse_seeds(seeds: str) -> list[int]:
-    wanted: list[int] = []
+    parsed: list[int] = []
     for part in seeds.strip("()").replace(" ", "").split(","):
         if not part:
             continue
         first, _, last = part.partition("-")
-        wanted += range(int(first), int(last or first) + 1)
-    return wanted
+        parsed += range(int(first), int(last or first) + 1)
+    return parsed
 
 
 if __name__ == "__main__":
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
@@ -1,4 +1,4 @@
-"""Run a stand-in: the platform, or all runners of a deployment."""
+"""Runs the fake platform, or all fake runners of a deployment."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Standins:
-    """Stand-ins of the outside systems."""
+    """Fakes of external systems."""
 
     def platform(self, host_lag_ms: float = 500.0) -> None:
         """Serve the object API and the host list."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/__init__.py
@@ -1,3 +1,3 @@
-"""The demo: an evening of one deployment on loopback."""
+"""Demo of one deployment on loopback, with traffic, faults and a result table."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
@@ -1,4 +1,4 @@
-"""What the demo's callers saw."""
+"""Results collected by the demo's callers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallerTally:
-    """Count outcomes; a promise is a line of the final table."""
+    """Counts of the outcomes that callers observed."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
@@ -14,12 +14,12 @@
         self.cut_by_node: Counter[str] = Counter()
         self.latencies_s: list[float] = []
         self.not_run_marks: set[str] = set()
-        """Score posts whose last word was ``not_run``."""
+        """Marks of score posts whose last reported outcome was ``not_run``."""
         self.repeated_answers = 0
         self.repeats_elsewhere = 0
 
     def percentile_s(self, share: float) -> float:
-        """Return a percentile of the time to the whole answer."""
+        """Return a percentile (as a share) of the time to the complete response."""
         if not self.latencies_s:
             return 0.0
         ordered = sorted(self.latencies_s)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -1,4 +1,4 @@
-"""A caller as the users write them: asks for addresses, keeps them, connects."""
+"""Caller like those of the users: resolves addresses, caches them and connects."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 MAX_RESUME_ATTEMPTS = 3
 STATUS_OK = 200
 REPEAT_SHARE = 0.15
-"""Share of score posts that are repeated through another node though answered."""
+"""Share of answered score posts that are repeated through another node."""
 
 
 class CachedAddresses(NamedTuple):
-    """An address answer and until when it may be kept."""
+    """Resolved node addresses and the monotonic time at which they expire."""
 
     addresses: list[tuple[str, int]]
     expires_at_s: float
 
 
 class ResponseBody(NamedTuple):
-    """What came of an answer, and whether it ended in order."""
+    """Bytes received of a response, and whether it was received completely."""
 
     body: bytes
     error: str
@@ -40,7 +40,7 @@
 
 
 class Chat:
-    """One returning chat with its growing prompt."""
+    """A chat whose prompt grows with each turn."""
 
     def __init__(self, *, team: str, chat_id: str, rng: Random) -> None:
         self.team = team
@@ -50,7 +50,7 @@
 
 
 class DemoCaller:
-    """Send chats and score posts for all teams of a deployment."""
+    """Sends chats and score posts for all teams of a deployment."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._cached_addresses: dict[tuple[str, str], CachedAddresses] = {}
 
     async def send_chat(self, chat: Chat) -> None:
-        """Send the chat's next turn until it is answered whole."""
+        """Send the next turn of a chat, with retries until the response is complete."""
         chat.text += f" turn {self._rng.randint(0, 999)}"
         body = {
             "model": self._deployment.model,
@@ -78,18 +78,18 @@
             "max_tokens": self._rng.randint(20, 140),
             "messages": [{"role": "user", "content": chat.text}],
         }
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         for attempt in range(MAX_ATTEMPTS):
             address = await self._address(
                 chat.team, chat.chat_id, attempt, chat.placement
             )
             if await self._try_chat(address, chat, body):
-                self._tally.latencies_s.append(time.monotonic() - began_s)
+                self._tally.latencies_s.append(time.monotonic() - started_s)
                 return
         self._tally.outcomes["chat_given_up"] += 1
 
     async def post_score(self, team: str, mark: str) -> None:
-        """Post a score once, repeating it with its key until its fate is known."""
+        """Post a score; retry with its idempotency key until the outcome is known."""
         for attempt in range(MAX_ATTEMPTS):
             outcome = await self._try_post(
                 await self._address(team, "", attempt), team, mark
@@ -114,31 +114,33 @@
         self, address: tuple[str, int], chat: Chat, body: dict[str, Any]
     ) -> bool:
         url = f"http://{address[0]}:{address[1]}/v1/chat/completions"
-        sent = {
+        request_headers = {
             **self._auth(chat.team),
             headers.CHAT_ID: chat.chat_id,
             headers.PLACEMENT: chat.placement,
             headers.RESUMABLE: "1",
         }
-        part = ResponseBody(b"", "", False)
+        received = ResponseBody(b"", "", False)
         try:
-            async with self._session.post(url, json=body, headers=sent) as answer:
-                part = await _read(answer)
+            async with self._session.post(
+                url, json=body, headers=request_headers
+            ) as response:
+                received = await _read(response)
         except (aiohttp.ClientError, TimeoutError):
             self._tally.outcomes["chat_no_connection"] += 1
             self._drop_first_address(chat.team, chat.chat_id)
             return False
-        if answer.status != STATUS_OK:
-            self._tally.outcomes[f"chat_{json.loads(part.body)['outcome']}"] += 1
+        if response.status != STATUS_OK:
+            self._tally.outcomes[f"chat_{json.loads(received.body)['outcome']}"] += 1
             return False
-        if not part.is_complete:
+        if not received.is_complete:
             self._tally.outcomes["chat_cut"] += 1
             self._tally.cut_by_node[address[0]] += 1
-            part = await self._resume(chat, address, part, answer)
-        if not part.is_complete:
+            received = await self._resume(chat, address, received, response)
+        if not received.is_complete:
             return False
-        self._check_content(answer, part.body.decode(), body["max_tokens"])
-        chat.placement = answer.headers[headers.PLACEMENT]
+        self._check_content(response, received.body.decode(), body["max_tokens"])
+        chat.placement = response.headers[headers.PLACEMENT]
         self._tally.outcomes["chat_whole"] += 1
         return True
 
@@ -146,28 +148,33 @@
         self,
         chat: Chat,
         address: tuple[str, int],
-        part: ResponseBody,
-        answer: aiohttp.ClientResponse,
+        received: ResponseBody,
+        response: aiohttp.ClientResponse,
     ) -> ResponseBody:
-        """Ask other nodes for the rest of a stream that broke."""
-        sent = {**self._auth(chat.team), headers.RESUME: answer.headers[headers.RESUME]}
+        """Resume an interrupted stream through other nodes."""
+        request_headers = {
+            **self._auth(chat.team),
+            headers.RESUME: response.headers[headers.RESUME],
+        }
         others = [node for node in self._bootstrap if node != address]
         for host, port in self._rng.sample(others, MAX_RESUME_ATTEMPTS):
-            url = f"http://{host}:{port}/v1/streams?after={len(part.body)}"
+            url = f"http://{host}:{port}/v1/streams?after={len(received.body)}"
             try:
-                async with self._session.get(url, headers=sent) as rest_answer:
-                    rest = await _read(rest_answer)
+                async with self._session.get(
+                    url, headers=request_headers
+                ) as rest_response:
+                    rest = await _read(rest_response)
             except (aiohttp.ClientError, TimeoutError):
                 continue
-            if rest_answer.status == STATUS_OK and rest.is_complete:
+            if rest_response.status == STATUS_OK and rest.is_complete:
                 self._tally.outcomes["chat_resumed"] += 1
-                return ResponseBody(part.body + rest.body, rest.error, True)
-        return part
+                return ResponseBody(received.body + rest.body, rest.error, True)
+        return received
 
     def _check_content(
-        self, answer: aiohttp.ClientResponse, text: str, tokens: int
+        self, response: aiohttp.ClientResponse, text: str, tokens: int
     ) -> None:
-        name = answer.headers[headers.REQUEST_ID]
+        name = response.headers[headers.REQUEST_ID]
         lines = [line for line in text.split("\n\n") if line.startswith("data: {")]
         words = [
             json.loads(line[6:])["choices"][0]["delta"]["content"] for line in lines
@@ -178,59 +185,61 @@
     async def _try_post(self, address: tuple[str, int], team: str, mark: str) -> str:
         service = self._deployment.service
         url = f"http://{address[0]}:{address[1]}/v1/services/{service}/post"
-        sent = {**self._auth(team), headers.IDEMPOTENCY_KEY: mark}
+        request_headers = {**self._auth(team), headers.IDEMPOTENCY_KEY: mark}
         try:
-            async with self._session.post(url, data=mark, headers=sent) as answer:
-                body = await answer.json()
+            async with self._session.post(
+                url, data=mark, headers=request_headers
+            ) as response:
+                body = await response.json()
         except aiohttp.ClientConnectorError:
             return "no_connection"
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return "unknown"
-        if headers.REPEATED in answer.headers:
+        if headers.REPEATED in response.headers:
             self._tally.repeated_answers += 1
-        if answer.status == STATUS_OK and body.get("done") != mark:
+        if response.status == STATUS_OK and body.get("done") != mark:
             self._tally.crossed += 1
-        return answer.headers.get(headers.OUTCOME, "unknown")
+        return response.headers.get(headers.OUTCOME, "unknown")
 
     async def _address(
         self, team: str, chat_id: str, attempt: int, placement: str = ""
     ) -> tuple[str, int]:
-        kept = self._cached_addresses.get((team, chat_id))
-        if kept is None or kept.expires_at_s < time.monotonic():
-            kept = await self._fetch_addresses(team, chat_id, placement)
-            self._cached_addresses[team, chat_id] = kept
-        return kept.addresses[attempt % len(kept.addresses)]
+        cached = self._cached_addresses.get((team, chat_id))
+        if cached is None or cached.expires_at_s < time.monotonic():
+            cached = await self._fetch_addresses(team, chat_id, placement)
+            self._cached_addresses[team, chat_id] = cached
+        return cached.addresses[attempt % len(cached.addresses)]
 
     async def _fetch_addresses(
         self, team: str, chat_id: str, placement: str
     ) -> CachedAddresses:
-        sent = self._auth(team)
+        request_headers = self._auth(team)
         params = {}
         if chat_id:
-            sent[headers.CHAT_ID] = chat_id
-            sent[headers.PLACEMENT] = placement
+            request_headers[headers.CHAT_ID] = chat_id
+            request_headers[headers.PLACEMENT] = placement
             params["model"] = self._deployment.model
         for _ in range(MAX_ATTEMPTS):
             host, port = self._rng.choice(self._bootstrap)
             url = f"http://{host}:{port}/v1/addresses"
             try:
                 async with self._session.get(
-                    url, headers=sent, params=params
-                ) as answer:
-                    body = await answer.json()
+                    url, headers=request_headers, params=params
+                ) as response:
+                    body = await response.json()
             except (aiohttp.ClientError, TimeoutError, ValueError):
                 continue
-            if answer.status == STATUS_OK and body["addresses"]:
+            if response.status == STATUS_OK and body["addresses"]:
                 addresses = [(a["address"], a["port"]) for a in body["addresses"]]
-                keep_s = body["keep_ms"] / 1000
-                return CachedAddresses(addresses, time.monotonic() + keep_s)
+                lifetime_s = body["keep_ms"] / 1000
+                return CachedAddresses(addresses, time.monotonic() + lifetime_s)
         return CachedAddresses(self._bootstrap, time.monotonic())
 
     def _drop_first_address(self, team: str, chat_id: str) -> None:
-        kept = self._cached_addresses.get((team, chat_id))
-        if kept is not None and len(kept.addresses) > 1:
-            self._cached_addresses[team, chat_id] = kept._replace(
-                addresses=kept.addresses[1:]
+        cached = self._cached_addresses.get((team, chat_id))
+        if cached is not None and len(cached.addresses) > 1:
+            self._cached_addresses[team, chat_id] = cached._replace(
+                addresses=cached.addresses[1:]
             )
 
     def _auth(self, team: str) -> dict[str, str]:
@@ -238,10 +247,10 @@
         return {"Authorization": f"Bearer {key}"}
 
 
-async def _read(answer: aiohttp.ClientResponse) -> ResponseBody:
+async def _read(response: aiohttp.ClientResponse) -> ResponseBody:
     body = b""
     try:
-        async for chunk in answer.content.iter_any():
+        async for chunk in response.content.iter_any():
             body += chunk
     except (aiohttp.ClientError, TimeoutError) as error:
         return ResponseBody(body, repr(error), False)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/deployment.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The two deployments of today, as the demo lays them out on loopback."""
+"""The two deployments that the demo can run on loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Deployment(NamedTuple):
-    """One users' fleet."""
+    """Hosts, teams and models of one users' fleet."""
 
     name: str
     region: str
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
@@ -1,4 +1,4 @@
-"""The demo's script: a short evening with a leaving runner, a stop and a kill."""
+"""Demo scenario: traffic with a leaving runner, a node stop, a kill and an outage."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class DemoResult(NamedTuple):
-    """All that the table is made of."""
+    """Data from which the result table is computed."""
 
     tally: CallerTally
     runner_stats: RunnerStats
@@ -56,34 +56,34 @@
     stopped_address: str
     killed_address: str
     late_work_s: float
-    """How long after its leaving was listed the runner began its last work."""
+    """Time from listing the runner as leaving to the start of its last request."""
     settings_in_force_s: float
     platform_calls: dict[str, int]
     seconds: float
 
 
 class DemoScenario:
-    """Run one deployment through its evening and collect what was seen."""
+    """Runs the scenario on one deployment and collects the results."""
 
     def __init__(self, *, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
         self._rng = Random(seed)
         self._tally = CallerTally()
-        self._left_s = 0.0
+        self._runner_left_s = 0.0
         self._stop_exit_code = -1
         self._in_force_s = -1.0
 
     async def run(self) -> DemoResult:
-        """Start everything, play the evening, end everything."""
+        """Start the processes, run the scenario and stop the processes."""
         folder = Path("build") / "demo" / self._deployment.name
         async with FleetProcesses(deployment=self._deployment, folder=folder) as fleet:
             await fleet.start_nodes()
             await self._apply_settings(fleet)
             await fleet.wait_ready()
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             async with make_session(CALL_TIMEOUT_S) as session:
                 await self._run_traffic(fleet, session)
-            return await self._collect(fleet, time.monotonic() - began_s)
+            return await self._collect(fleet, time.monotonic() - started_s)
 
     async def _run_traffic(
         self, fleet: FleetProcesses, session: aiohttp.ClientSession
@@ -112,7 +112,7 @@
         await asyncio.sleep(RUNNER_LEAVE_AT_S)
         host = fleet.runners[0] | {"state": "leaving"}
         await session.put(f"{PLATFORM_URL}/control/hosts", json=host)
-        self._left_s = time.time()
+        self._runner_left_s = time.time()
 
     async def _stop_node(self, fleet: FleetProcesses) -> None:
         await asyncio.sleep(NODE_STOP_AT_S)
@@ -125,21 +125,21 @@
         fleet.signal(fleet.nodes[2]["host"], signal.SIGKILL)
 
     async def _change_settings(self, fleet: FleetProcesses) -> None:
-        """Change settings and take the platform away as soon as that is accepted."""
+        """Change settings, and start a platform outage as soon as they are accepted."""
         await asyncio.sleep(SETTINGS_CHANGE_AT_S)
         clients = [operator_client(admin_url(host)) for host in fleet.nodes]
         alive = clients[:1] + clients[3:]
-        seen = await alive[0].get("/admin/settings")
+        current = await alive[0].get("/admin/settings")
         edits: dict[str, dict[str, Any] | None] = {
-            "/": {**seen["own"], "queue_ms": 900}
+            "/": {**current["own"], "queue_ms": 900}
         }
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         accepted = await alive[0].change_settings(
-            whole_change(edits, based_on=seen["version"])
+            whole_change(edits, based_on=current["version"])
         )
-        async with _platform_away():
+        async with _platform_outage():
             await _wait_in_force(alive, accepted["version"])
-            self._in_force_s = time.monotonic() - began_s
+            self._in_force_s = time.monotonic() - started_s
             await asyncio.sleep(OUTAGE_S)
 
     async def _apply_settings(self, fleet: FleetProcesses) -> None:
@@ -151,9 +151,9 @@
         stats = await read_runner_stats(fleet.runners)
         async with (
             aiohttp.ClientSession() as session,
-            session.get(f"{PLATFORM_URL}/control/calls") as answer,
+            session.get(f"{PLATFORM_URL}/control/calls") as response,
         ):
-            calls = await answer.json()
+            calls = await response.json()
         alive = fleet.nodes[:1] + fleet.nodes[3:]
         status = {
             host["host"]: await operator_client(admin_url(host)).get("/admin/status")
@@ -166,7 +166,7 @@
             stop_exit_code=self._stop_exit_code,
             stopped_address=fleet.nodes[1]["address"],
             killed_address=fleet.nodes[2]["address"],
-            late_work_s=stats["engine-1"]["last_start_s"] - self._left_s,
+            late_work_s=stats["engine-1"]["last_start_s"] - self._runner_left_s,
             settings_in_force_s=self._in_force_s,
             platform_calls=calls,
             seconds=seconds,
@@ -174,21 +174,21 @@
 
 
 def operator_client(url: str) -> AdminClient:
-    """Return a client with the demo's operator key."""
+    """Return an admin client with the demo's operator key."""
     return AdminClient(url=url, key=OPERATOR_KEY)
 
 
 def whole_change(
     edits: dict[str, dict[str, Any] | None], *, based_on: int = 0
 ) -> SettingsChangeBody:
-    """Return a change of settings that is meant, not tried."""
+    """Return the request body of a settings change that is not a dry run."""
     return SettingsChangeBody(
         author="demo", note="demo", based_on=based_on, dry_run=False, edits=edits
     )
 
 
 @asynccontextmanager
-async def _platform_away() -> AsyncIterator[None]:
+async def _platform_outage() -> AsyncIterator[None]:
     url = f"{PLATFORM_URL}/control/faults"
     async with aiohttp.ClientSession() as session:
         await session.put(url, json={"outage": True})
@@ -201,6 +201,6 @@
 async def _wait_in_force(clients: list[AdminClient], version: int) -> None:
     versions = [0]
     while min(versions) < version:
-        answers = [await client.get("/admin/settings") for client in clients]
-        versions = [answer["version"] for answer in answers]
+        replies = [await client.get("/admin/settings") for client in clients]
+        versions = [response["version"] for response in replies]
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
@@ -1,6 +1,6 @@
-"""Start and end the processes of a fleet on this machine.
+"""Starts and stops the processes of a fleet on this machine.
 
-The rule that a process starts no other binds the product; this is a tool beside it.
+The rule that a process starts no other applies to the product, not to this tool.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class FleetProcesses:
-    """Own the stand-ins' and the nodes' processes; ends them all when closed."""
+    """Owns the processes of the fakes and the nodes; kills them on exit."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._files = ExitStack()
 
     async def __aenter__(self) -> Self:
-        """Start the stand-ins and list the hosts."""
+        """Start the fakes and register all hosts."""
         self._folder.mkdir(parents=True, exist_ok=True)
         for old_log in self._folder.glob("*.log"):
             old_log.unlink()
@@ -73,7 +73,7 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End every process that is still there."""
+        """Kill all processes that are still running."""
         for process in self._processes.values():
             if process.returncode is None:
                 process.kill()
@@ -82,26 +82,29 @@
         self._files.close()
 
     async def start_node(self, host: HostBody) -> None:
-        """Start one node."""
+        """Write the settings file of a node and start it."""
         path = self._folder / f"{host['host']}.json"
         settings = node_settings(host, **self._node_changes)
         path.write_text(json.dumps(settings, indent=2))
         await self._start(host["host"], self._node_module, f"--config={path}")
 
     async def start_nodes(self) -> None:
-        """Start all nodes and wait until operators can reach them."""
+        """Start all nodes and wait until their admin addresses respond."""
         for host in self.nodes:
             await self.start_node(host)
         for host in self.nodes:
             await self.wait_answering(f"{admin_url(host)}/health")
 
     async def wait_ready(self) -> None:
-        """Wait until every node serves callers."""
+        """Wait until every node is ready for callers."""
         for host in self.nodes:
             await self.wait_answering(f"{admin_url(host)}/ready")
 
     async def wait_answering(self, url: str) -> None:
-        """Wait until a URL answers 200; raises ``TimeoutError``."""
+        """Wait until a URL responds with status 200.
+
+        Raises ``TimeoutError`` after ``START_TIMEOUT_S``.
+        """
         async with (
             asyncio.timeout(START_TIMEOUT_S),
             aiohttp.ClientSession() as session,
@@ -114,20 +117,23 @@
         self._processes[name].send_signal(number)
 
     def cpu_s(self, name: str) -> float:
-        """Return the processor time that a process has used, from /proc."""
+        """Return the CPU time that a process has used, from /proc."""
         stat = Path(f"/proc/{self._processes[name].pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
         user_ticks, system_ticks = int(fields[11]), int(fields[12])
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
     def peak_memory_bytes(self, name: str) -> int:
-        """Return the most memory that a process has held, from /proc."""
+        """Return the peak resident memory of a process, from /proc."""
         status = Path(f"/proc/{self._processes[name].pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) * 1024
 
     async def wait_ended(self, name: str) -> int:
-        """Wait for a process to end and return its exit code."""
+        """Wait for a process to exit and return its exit code.
+
+        Raises ``TimeoutError`` after ``STOP_TIMEOUT_S``.
+        """
         async with asyncio.timeout(STOP_TIMEOUT_S):
             return await self._processes[name].wait()
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/layout.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/layout.py
@@ -25,7 +25,7 @@
 
 
 def entry_hosts(deployment: Deployment) -> list[HostBody]:
-    """Return the nine entry hosts, spread over the zones."""
+    """Return the nine entry hosts, spread over the availability zones."""
     zones = deployment.availability_zones
     return [
         HostBody(
@@ -45,7 +45,7 @@
 
 
 def runner_hosts(deployment: Deployment) -> list[HostBody]:
-    """Return the engines, then the copies of the plain service."""
+    """Return the engines followed by the instances of the plain service."""
     zones = deployment.availability_zones
     roles = ["engine"] * deployment.engines + ["service"] * deployment.services
     return [
@@ -70,7 +70,7 @@
 
 
 def node_settings(host: HostBody, **changes: Any) -> dict[str, Any]:
-    """Return the settings document of one node."""
+    """Return the settings document of a node; ``changes`` override its fields."""
     return {
         "node_id": host["host"],
         "address": host["address"],
@@ -88,15 +88,15 @@
 
 
 def admin_url(host: HostBody) -> str:
-    """Return where a node's operators connect to."""
+    """Return the URL of a node's admin API."""
     return f"http://{host['address']}:{host['peer_port']}"
 
 
 def caller_url(host: HostBody) -> str:
-    """Return where a node's callers connect to."""
+    """Return the URL of a node's caller API."""
     return f"http://{host['address']}:{host['port']}"
 
 
 def runner_url(host: HostBody) -> str:
-    """Return where a runner's control switches are."""
+    """Return the URL of a runner."""
     return f"http://{host['address']}:{host['port']}"
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -1,4 +1,4 @@
-"""The table that the demo ends with: a line for each promise and measure."""
+"""Result table of the demo, with a line for each guarantee and measurement."""
 
 from __future__ import annotations
 
@@ -15,62 +15,66 @@
 
 
 class ReportLine(NamedTuple):
-    """One line: what, the figure, and whether it is as promised."""
+    """A line of the table: name, value and whether the guarantee was met."""
 
     name: str
-    figure: str
+    value: str
     is_met: bool | None
-    """None where nothing was promised."""
+    """None if the line has no guarantee."""
 
 
 def make_lines(result: DemoResult) -> list[ReportLine]:
-    """Return the table's lines."""
+    """Return the lines of the table, numbered by guarantee."""
     tally = result.tally
     outcomes = tally.outcomes
     executions = count_executions(result.runner_stats)
-    doubled = sum(1 for count in executions.values() if count > 1)
+    duplicates = sum(1 for count in executions.values() if count > 1)
     false_not_run = sum(1 for mark in tally.not_run_marks if executions.get(mark))
     cut_at_stop = tally.cut_by_node[result.stopped_address]
-    other_cuts = sum(
+    unexpected_cuts = sum(
         count
         for address, count in tally.cut_by_node.items()
         if address not in (result.stopped_address, result.killed_address)
     )
-    late_s = max(0.0, result.late_work_s)
+    last_start_s = max(0.0, result.late_work_s)
     in_force_s = result.settings_in_force_s
-    control = _control_bytes_per_s(result)
+    control_rates = _control_bytes_per_s(result)
     return [
-        ReportLine("chats answered whole", str(outcomes["chat_whole"]), None),
-        ReportLine("score posts that ran", str(outcomes["post_ran"]), None),
+        ReportLine("chats completed", str(outcomes["chat_whole"]), None),
+        ReportLine("score posts executed", str(outcomes["post_ran"]), None),
         ReportLine("all outcomes", _join(outcomes), None),
-        ReportLine("p50 / p95 of a whole chat", _latency(result), None),
-        ReportLine("1 worst peak over mean peak", _skew(result), None),
+        ReportLine("p50 / p95 of a completed chat", _latency(result), None),
+        ReportLine("1 highest peak over mean peak", _skew(result), None),
+        ReportLine("2 mixed-up responses", str(tally.crossed), tally.crossed == 0),
         ReportLine(
-            "2 crossed or mixed answers", str(tally.crossed), tally.crossed == 0
+            "2 streams cut, except by the kill",
+            str(unexpected_cuts),
+            unexpected_cuts == 0,
         ),
-        ReportLine("2 cut answers but by the kill", str(other_cuts), other_cuts == 0),
         ReportLine('3 false "not run"', str(false_not_run), false_not_run == 0),
-        ReportLine("4 doubled executions", str(doubled), doubled == 0),
-        ReportLine("4 posts repeated elsewhere", _repeats(result), None),
+        ReportLine("4 duplicate executions", str(duplicates), duplicates == 0),
+        ReportLine("4 posts repeated at other nodes", _repeats(result), None),
         ReportLine(
-            "5 leaving runner's last work", f"{late_s:.2f} s", late_s < MAX_LEAVE_S
+            "5 leaving runner's last start",
+            f"{last_start_s:.2f} s",
+            last_start_s < MAX_LEAVE_S,
         ),
         ReportLine("6 cut by the planned stop", str(cut_at_stop), cut_at_stop == 0),
         ReportLine(
-            "6 exit code of the stop",
+            "6 exit code of stopped node",
             str(result.stop_exit_code),
             result.stop_exit_code == 0,
         ),
         ReportLine(
-            "7 in force, platform away",
+            "7 settings in force, in outage",
             f"{in_force_s:.2f} s",
             0 <= in_force_s < MAX_SETTINGS_S,
         ),
         ReportLine("reuse of prompt prefixes", f"{_reuse(result):.1%}", None),
         ReportLine(
-            "control bytes a second a node",
-            f"mean {control[0]:.0f}, worst {control[1]:.0f}",
-            control[1] <= MAX_CONTROL_BYTES_PER_S,
+            "control bytes/s per node",
+            f"mean {control_rates[0]:.0f}, max {control_rates[1]:.0f}",
+            control_rates[1] <= MAX_CONTROL_BYTES_PER_S,
         ),
         ReportLine("platform calls", _join(result.platform_calls), None),
     ]
@@ -81,8 +85,7 @@
     marks = {True: "ok", False: "BROKEN", None: ""}
     width = max(len(line.name) for line in lines)
     return "\n".join(
-        f"{line.name:<{width}}  {marks[line.is_met]:<6}  {line.figure}"
-        for line in lines
+        f"{line.name:<{width}}  {marks[line.is_met]:<6}  {line.value}" for line in lines
     )
 
 
@@ -119,7 +122,9 @@
 
 def _repeats(result: DemoResult) -> str:
     tally = result.tally
-    return f"{tally.repeats_elsewhere} ({tally.repeated_answers} got the kept answer)"
+    return (
+        f"{tally.repeats_elsewhere} ({tally.repeated_answers} got the stored response)"
+    )
 
 
 def _join(counts: dict[str, int]) -> str:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/runner_stats.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/runner_stats.py
@@ -1,4 +1,4 @@
-"""What the stand-in runners counted."""
+"""Statistics reported by the fake runners."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from clementineyoke_wire.bodies import HostBody
 
 RunnerStats = dict[str, dict[str, Any]]
-"""Each runner's own figures, by its host's name."""
+"""Statistics of each runner by host name."""
 
 
 async def read_runner_stats(runners: list[HostBody]) -> RunnerStats:
-    """Ask each runner for its figures."""
+    """Fetch the statistics of each runner from ``/stats``."""
     stats: RunnerStats = {}
     async with aiohttp.ClientSession() as session:
         for host in runners:
-            async with session.get(f"{runner_url(host)}/stats") as answer:
-                stats[host["host"]] = await answer.json()
+            async with session.get(f"{runner_url(host)}/stats") as response:
+                stats[host["host"]] = await response.json()
     return stats
 
 
 def count_executions(stats: RunnerStats) -> Counter[str]:
-    """Return how often each mark was executed, over all runners."""
+    """Return the number of executions by mark, summed over all runners."""
     totals: Counter[str] = Counter()
-    for figures in stats.values():
-        totals.update(figures.get("executions", {}))
+    for counts in stats.values():
+        totals.update(counts.get("executions", {}))
     return totals
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
@@ -1,4 +1,4 @@
-"""Chats and score posts at a steady rate, in the background."""
+"""Background traffic of chats and score posts at a constant mean rate."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_session(timeout_s: float) -> aiohttp.ClientSession:
-    """Return a session with as many connections as callers need."""
+    """Return a client session without a connection limit."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         timeout=aiohttp.ClientTimeout(total=timeout_s),
@@ -29,7 +29,7 @@
 
 
 class Traffic:
-    """Own the senders; leaving the context lets what is under way end."""
+    """Sends requests while its context is open; closing waits for those in flight."""
 
     def __init__(
         self,
@@ -58,13 +58,13 @@
         self._chats_in_flight: set[str] = set()
 
     async def __aenter__(self) -> Self:
-        """Begin to send."""
+        """Start the senders."""
         senders = (self._send_chats(), self._post_scores())
         self._senders = [asyncio.create_task(sender) for sender in senders]
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Send no more and wait for the answers."""
+        """Stop the senders and wait for the requests in flight."""
         for sender in self._senders:
             sender.cancel()
         await asyncio.gather(*self._senders, return_exceptions=True)
@@ -103,7 +103,7 @@
             self._spawn(self._caller.post_score(team, f"post-{number}"))
             await asyncio.sleep(self._rng.expovariate(self._posts_per_s))
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, request: Any) -> None:
+        task = asyncio.create_task(request)
         self._in_flight.add(task)
         task.add_done_callback(self._in_flight.discard)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/__init__.py
@@ -1,3 +1,3 @@
-"""Compare arms of the code on the same days and seeds, with intervals."""
+"""Paired experiments: versions of the code on the same days and seeds."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
@@ -1,4 +1,4 @@
-"""Play days with the users' bench, a bounded number at once."""
+"""Runs days with the users' benchmark program, a bounded number at once."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class Case(NamedTuple):
-    """One day with one seed, for all arms."""
+    """One day with one seed, run in every arm."""
 
     site: str
     day: str
-    """Its name in the site file, or the path of a day of our own."""
+    """Name of a day in the site file, or the path of a TOML file with another day."""
     seed: int
 
 
 class ArmRun(NamedTuple):
-    """A case in one arm."""
+    """A case to run in one arm."""
 
     arm: str
     case: Case
 
     @property
     def label(self) -> str:
-        """Name of the play's files."""
+        """Base name of the files that the run writes."""
         site, day, seed = self.case
         return f"{self.arm}-{Path(site).stem}-{Path(day).stem}-{seed}"
 
 
 class BenchmarkLauncher:
-    """Own the bench's processes; each arm is a work tree of its own."""
+    """Starts benchmark processes, each in the work tree of its arm."""
 
     def __init__(
         self,
@@ -45,7 +45,18 @@
         charges_cpu: bool,
         is_small: bool = False,
     ) -> None:
-        """Take the parts; ``is_small`` plays the small twins of large days."""
+        """Initialize the launcher.
+
+        Args:
+            bench: Path of the benchmark program.
+            arms: Work tree of each arm by name.
+            folder: Folder for reports and outputs.
+            why: Reason that is passed on to the benchmark program.
+            jobs: Maximum number of concurrent processes.
+            charges_cpu: Whether the benchmark program charges for CPU time.
+            is_small: Whether to run the scaled-down variants of large days.
+
+        """
         self._bench = bench
         self._arms = arms
         self._folder = folder
@@ -55,18 +66,18 @@
         self._job_slots = asyncio.Semaphore(jobs)
 
     async def run(self, arm_run: ArmRun) -> DayReport | None:
-        """Return the day's report, or None when the bench gave none."""
+        """Return the report of a run, or None if the benchmark wrote no valid one."""
         report = self._folder / f"{arm_run.label}.json"
         report.unlink(missing_ok=True)
         async with self._job_slots:
-            done = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 str(self._bench),
                 *self._arguments(arm_run, report),
                 cwd=self._arms[arm_run.arm],
                 stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.STDOUT,
             )
-            output, _ = await done.communicate()
+            output, _ = await process.communicate()
         (self._folder / f"{arm_run.label}.txt").write_bytes(output)
         try:
             return read_report(report.read_text())
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
@@ -1,4 +1,4 @@
-"""What one play of a day earned, read from the report that the users' bench writes."""
+"""Result of one day, read from the report of the users' benchmark program."""
 
 from __future__ import annotations
 
@@ -7,38 +7,40 @@
 
 
 class DayReport(NamedTuple):
-    """A day's worth and where it went; all shares are of what callers were owed."""
+    """Score of a day and its parts; shares are relative to what callers were owed."""
 
     worth: float
     parts: dict[str, float]
-    """Share earned by part, as the whole day or the worst windows."""
+    """Share earned in each part of the score, such as the worst windows."""
     prices: dict[str, float]
-    """What each price took off."""
+    """Deduction from the score for each kind of cost."""
     amounts: dict[str, float]
-    """What was paid for, each in its own unit."""
+    """Amount behind each deduction, in a unit of its own."""
     unserved: dict[str, int]
-    """Requests that were not served, by how their last try ended."""
+    """Number of requests that were not served, by the outcome of the last attempt."""
     broken_rules: tuple[str, ...]
-    """Rules that were broken."""
+    """Names of the rules that were broken."""
 
     def metrics(self) -> dict[str, float]:
-        """Return every figure by a name of its own, for comparing."""
-        figures = {"worth": self.worth, "broken rules": float(len(self.broken_rules))}
-        figures["prices"] = sum(self.prices.values())
-        figures |= {f"part: {name}": value for name, value in self.parts.items()}
-        figures |= {f"price: {name}": value for name, value in self.prices.items()}
-        figures |= {f"amount: {name}": value for name, value in self.amounts.items()}
-        figures["unserved"] = float(sum(self.unserved.values()))
-        figures |= {f"unserved: {end}": float(n) for end, n in self.unserved.items()}
-        return figures
+        """Return all metrics by unique name, for comparison."""
+        values = {"worth": self.worth, "broken rules": float(len(self.broken_rules))}
+        values["prices"] = sum(self.prices.values())
+        values |= {f"part: {name}": value for name, value in self.parts.items()}
+        values |= {f"price: {name}": value for name, value in self.prices.items()}
+        values |= {f"amount: {name}": value for name, value in self.amounts.items()}
+        values["unserved"] = float(sum(self.unserved.values()))
+        values |= {
+            f"unserved: {outcome}": float(n) for outcome, n in self.unserved.items()
+        }
+        return values
 
 
 def read_report(text: str) -> DayReport:
-    """Read a report; raises ``ValueError`` that says what is missing."""
+    """Parse a report; raises ``ValueError`` naming what is missing or malformed."""
     try:
         return _parse(json.loads(text))
     except (KeyError, TypeError) as error:
-        message = f"no report of a day: {error!r}"
+        message = f"invalid day report: {error!r}"
         raise ValueError(message) from error
 
 
@@ -48,6 +50,8 @@
         parts={name: float(share) for name, _, share in document["parts"]},
         prices={name: float(price) for name, _, price in document["prices"]},
         amounts={name: float(amount) for name, amount, _ in document["prices"]},
-        unserved={end: int(count) for end, count, *_ in document["unserved_by"]},
+        unserved={
+            outcome: int(count) for outcome, count, *_ in document["unserved_by"]
+        },
         broken_rules=tuple(document["breaks"]),
     )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/paired_difference.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/paired_difference.py
@@ -1,4 +1,4 @@
-"""The mean difference of paired plays, with the interval that the pairs allow."""
+"""Mean difference of paired runs with a bootstrap confidence interval."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 RESAMPLES = 10_000
 LOW_PERCENT, HIGH_PERCENT = 2.5, 97.5
 SEED = 1
-"""The same pairs always give the same interval."""
+"""Fixed, so that the same pairs always give the same interval."""
 
 
 class PairedDifference(NamedTuple):
-    """How much more the second arm has than the first, in the mean of the pairs."""
+    """Mean difference of the second arm to the first, with its 95% interval."""
 
     first: float
     second: float
@@ -27,23 +27,23 @@
 
     @property
     def is_clear(self) -> bool:
-        """Whether the interval leaves no doubt about the sign."""
+        """Whether the interval excludes zero."""
         return self.low > 0.0 or self.high < 0.0
 
     def __str__(self) -> str:
-        """Return difference and interval, as a table shows them."""
+        """Return difference and interval, as printed in tables."""
         mark = "" if self.is_clear else " unclear"
         interval = f"[{self.low:+.4f}, {self.high:+.4f}]"
         return f"{self.difference:+.4f} {interval} of {self.pairs} pairs{mark}"
 
 
 def compare(first: Sequence[float], second: Sequence[float]) -> PairedDifference:
-    """Return the paired difference with its 95% bootstrap interval."""
+    """Return the mean paired difference with its 95% bootstrap interval."""
     differences = np.asarray(second) - np.asarray(first)
-    drawn = np.random.default_rng(SEED).choice(
+    resamples = np.random.default_rng(SEED).choice(
         differences, size=(RESAMPLES, len(differences))
     )
-    low, high = np.percentile(drawn.mean(axis=1), [LOW_PERCENT, HIGH_PERCENT])
+    low, high = np.percentile(resamples.mean(axis=1), [LOW_PERCENT, HIGH_PERCENT])
     return PairedDifference(
         first=float(np.mean(first)),
         second=float(np.mean(second)),
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/__init__.py
@@ -1,3 +1,3 @@
-"""A small stand-in of the platform's object API and host list."""
+"""Fake of the platform's object API and host list."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
@@ -1,4 +1,4 @@
-"""The platform as a claim chain meets it: objects with versions, without a network."""
+"""In-memory fake of the platform objects that a claim chain reads and writes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ChainPlatform:
-    """Take or refuse a chain's writes; read a shard back in one moment."""
+    """Stores the versioned objects of one shard, without network or delay."""
 
     def __init__(self, *, shard: str) -> None:
         self._shard = shard
         self.objects: dict[str, tuple[int, bytes]] = {}
 
     def land(self, write: ChainWrite) -> int | None:
-        """Return the new version, or None if the expected one does not hold."""
+        """Apply a write and return the new version, or None on a version conflict."""
         version, _ = self.objects.get(write.name, (0, b""))
         if version != write.expected_version:
             return None
@@ -34,7 +34,7 @@
         return version + 1
 
     def read(self) -> ChainRead:
-        """Return head and segments."""
+        """Return the head and all of its segments, read atomically."""
         version, body = self.objects.get(head_name(self._shard), (0, b""))
         head = decode_head(body) if version else INITIAL_HEAD
         numbers = range(head.first, head.open + 1)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/faults.py
@@ -1,4 +1,4 @@
-"""Switches that make the stand-in platform fail."""
+"""Injected faults of the fake platform."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class PlatformFaults(msgspec.Struct, kw_only=True):
-    """What goes wrong now; all off at the start."""
+    """Faults that are active now; all off by default."""
 
     outage: bool = False
-    """Every call is answered 503."""
+    """Respond to every call with status 503."""
     delay_ms: float = 0.0
     lost_replies: int = 0
-    """So many next writes take effect and the connection then breaks."""
+    """Number of next writes that take effect before the connection is aborted."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/host_registry.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/host_registry.py
@@ -1,4 +1,4 @@
-"""The host list, which shows changes only after a lag."""
+"""Host list of the fake platform, where changes become visible after a lag."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HostRegistry:
-    """Keep hosts by name; ``put`` and ``remove`` become visible after the lag."""
+    """Stores hosts by name; ``put`` and ``remove`` take effect after ``lag_ms``."""
 
     def __init__(self, *, lag_ms: float = 0.0) -> None:
         self.lag_ms = lag_ms
@@ -20,23 +20,23 @@
         self._revisions: dict[str, int] = {}
 
     async def put(self, host: HostBody) -> None:
-        """Add or change a host."""
+        """Add or replace a host after the lag."""
         await asyncio.sleep(self.lag_ms / 1000)
         self._hosts[host["host"]] = host
         await self._record_change(host["host"])
 
     async def remove(self, name: str) -> None:
-        """Drop a host."""
+        """Remove a host after the lag."""
         await asyncio.sleep(self.lag_ms / 1000)
         self._hosts.pop(name, None)
         await self._record_change(name)
 
     def get(self, name: str) -> HostBody | None:
-        """Return a host, or None."""
+        """Return the host with a name, or None."""
         return self._hosts.get(name)
 
     def changes_after(self, revision: int) -> tuple[list[HostBody], list[str]]:
-        """Return changed hosts and the names of those that are gone."""
+        """Return the hosts changed and the names removed after a revision."""
         names = [name for name, at in self._revisions.items() if at > revision]
         hosts = [self._hosts[name] for name in names if name in self._hosts]
         return hosts, [name for name in names if name not in self._hosts]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/object_store.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/object_store.py
@@ -1,4 +1,4 @@
-"""Objects with versions, in memory."""
+"""In-memory store of versioned objects."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ObjectVersion(NamedTuple):
-    """An object with its version and the store's revision of its last write."""
+    """Content of an object, its version and the store revision of its last write."""
 
     body: bytes
     version: int
@@ -17,7 +17,7 @@
 
 
 class ObjectStore:
-    """Conditional updates and a revision that watches wait on."""
+    """Object store with conditional writes and a revision for watches."""
 
     def __init__(self) -> None:
         self._objects: dict[str, ObjectVersion] = {}
@@ -25,13 +25,13 @@
         self.changed = asyncio.Condition()
 
     def read(self, name: str) -> ObjectVersion | None:
-        """Return an object, or None."""
+        """Return the object with a name, or None."""
         return self._objects.get(name)
 
     async def write(self, name: str, body: bytes, *, expected_version: int) -> int:
-        """Write and return the new version, or 0 when the version is another."""
-        held = self._objects.get(name)
-        version = 0 if held is None else held.version
+        """Write an object and return its new version, or 0 on a version conflict."""
+        stored = self._objects.get(name)
+        version = 0 if stored is None else stored.version
         if version != expected_version:
             return 0
         self.revision += 1
@@ -41,16 +41,16 @@
         return version + 1
 
     def list_after(self, prefix: str, after: str) -> list[tuple[str, ObjectVersion]]:
-        """Return a page of a prefix's objects with names after a name."""
+        """Return a page of objects under a prefix, with names after ``after``."""
         names = sorted(n for n in self._objects if n.startswith(prefix) and n > after)
         return [(name, self._objects[name]) for name in names[:PAGE_OBJECTS]]
 
     def written_after(
         self, prefix: str, revision: int
     ) -> list[tuple[str, ObjectVersion]]:
-        """Return a prefix's objects that were written after a revision."""
+        """Return the objects under a prefix that were written after a revision."""
         return [
-            (name, held)
-            for name, held in sorted(self._objects.items())
-            if name.startswith(prefix) and held.revision > revision
+            (name, stored)
+            for name, stored in sorted(self._objects.items())
+            if name.startswith(prefix) and stored.revision > revision
         ]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/platform_server.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/platform_server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform over HTTP."""
+"""HTTP server of the fake platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlatformServer:
-    """Objects, watches and hosts; counts calls and fails on order."""
+    """Serves objects, watches and hosts, counts calls and injects faults."""
 
     def __init__(self, *, host_lag_ms: float = 0.0) -> None:
         self.store = ObjectStore()
@@ -60,10 +60,10 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        held = self.store.read(name)
-        if held is None:
+        stored = self.store.read(name)
+        if stored is None:
             return web.json_response({"error": "no such object"}, status=404)
-        return web.json_response(_describe(name, held))
+        return web.json_response(_describe(name, stored))
 
     async def _write(self, request: web.Request) -> web.Response:
         version = await self.store.write(
@@ -80,28 +80,29 @@
         return web.json_response({"version": version})
 
     async def _list(self, request: web.Request) -> web.Response:
-        found = self.store.list_after(request.query["prefix"], request.query["after"])
+        page = self.store.list_after(request.query["prefix"], request.query["after"])
         return web.json_response(
-            {"objects": [_describe(name, held) for name, held in found]}
+            {"objects": [_describe(name, stored) for name, stored in page]}
         )
 
     async def _watch(self, request: web.Request) -> web.Response:
         prefix = request.query["prefix"]
         after = int(request.query["after_revision"])
-        await _wait(
+        await _wait_for_change(
             self.store.changed,
             lambda: bool(self.store.written_after(prefix, after)) or self.faults.outage,
             request,
         )
         objects = [
-            _describe(n, held) for n, held in self.store.written_after(prefix, after)
+            _describe(n, stored)
+            for n, stored in self.store.written_after(prefix, after)
         ]
         return web.json_response({"revision": self.store.revision, "objects": objects})
 
     async def _watch_hosts(self, request: web.Request) -> web.Response:
         after = int(request.query["after_revision"])
         if after:
-            await _wait(
+            await _wait_for_change(
                 self.hosts.changed, lambda: self.hosts.revision > after, request
             )
         hosts, gone = self.hosts.changes_after(after)
@@ -133,15 +134,15 @@
         return web.json_response(dict(self.calls))
 
 
-def _describe(name: str, held: ObjectVersion) -> dict[str, Any]:
-    body = base64.b64encode(held.body).decode()
-    return {"name": name, "version": held.version, "body": body}
+def _describe(name: str, stored: ObjectVersion) -> dict[str, Any]:
+    body = base64.b64encode(stored.body).decode()
+    return {"name": name, "version": stored.version, "body": body}
 
 
-async def _wait(
-    changed: asyncio.Condition, is_due: Callable[[], bool], request: web.Request
+async def _wait_for_change(
+    changed: asyncio.Condition, predicate: Callable[[], bool], request: web.Request
 ) -> None:
     wait_s = int(request.query["wait_ms"]) / 1000
     with suppress(TimeoutError):
         async with asyncio.timeout(wait_s), changed:
-            await changed.wait_for(is_due)
+            await changed.wait_for(predicate)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/__init__.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins of a model engine and a plain service."""
+"""Fakes of a model engine and a plain service."""
 
 from __future__ import annotations
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/kept_stream.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/kept_stream.py
@@ -1,4 +1,4 @@
-"""A stream that goes on for a while without a reader."""
+"""Response stream that is retained for a while without a reader."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
     from collections.abc import AsyncIterator, Iterator
 
 RETENTION_S = 5.0
-"""How long an engine works on without a reader, and keeps what it made."""
+"""How long an engine continues a stream without a reader, and retains its output."""
 
 
 class RetainedStream:
-    """Collect an answer's bytes; readers follow from any place."""
+    """Buffers the bytes of a response; readers can follow from any offset."""
 
     def __init__(self) -> None:
         self._body = bytearray()
-        self._grown = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self._readers = 0
         self.is_complete = False
         self.last_read_s = 0.0
-        """Loop time at which the last reader went."""
+        """Event loop time at which a reader last stopped."""
 
     async def add(self, chunk: bytes) -> None:
-        """Append bytes and wake the readers."""
+        """Append bytes and notify the readers."""
         self._body += chunk
-        async with self._grown:
-            self._grown.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
 
     async def end(self) -> None:
-        """Note that nothing more will come."""
+        """Mark the stream as complete."""
         self.is_complete = True
         await self.add(b"")
 
     def is_abandoned(self) -> bool:
-        """Whether nobody has read for the grace time."""
+        """Return whether there has been no reader for ``RETENTION_S``."""
         now_s = asyncio.get_running_loop().time()
         return self._readers == 0 and now_s - self.last_read_s > RETENTION_S
 
     @contextmanager
     def reader(self) -> Iterator[None]:
-        """Count a reader while it reads."""
+        """Register a reader for the duration of the context."""
         self._readers += 1
         try:
             yield
@@ -51,16 +51,16 @@
             self.last_read_s = asyncio.get_running_loop().time()
 
     async def read_from(self, offset: int) -> AsyncIterator[bytes]:
-        """Yield the bytes after a place, as they come, to the end."""
-        place = offset
+        """Yield the bytes from an offset to the end of the stream as they arrive."""
+        position = offset
         while True:
-            if place < len(self._body):
-                chunk = bytes(self._body[place:])
-                place += len(chunk)
+            if position < len(self._body):
+                chunk = bytes(self._body[position:])
+                position += len(chunk)
                 yield chunk
                 continue
             if self.is_complete:
                 return
-            async with self._grown:
-                if place >= len(self._body) and not self.is_complete:
-                    await self._grown.wait()
+            async with self._changed:
+                if position >= len(self._body) and not self.is_complete:
+                    await self._changed.wait()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine: batching, prefix cache, streams, faults."""
+"""Fake model engine with batching, prefix cache, resumable streams and faults."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     from collections.abc import AsyncIterator, Iterator
 
 CHARACTERS_PER_MS = 40.0
-"""Speed of reading a prompt that is not cached."""
+"""Prefill speed for the part of a prompt that is not cached."""
 TOKEN_MS = 4.0
-"""Time between tokens of an otherwise idle engine."""
+"""Time per token on an otherwise idle engine."""
 DEFAULT_TOKENS = 8
 CACHE_CHARACTERS = 400_000
 
 
 class ModelEngine(StandinRunner):
-    """Answer chats; a fuller batch makes every token a little slower."""
+    """Responds to chats; tokens take longer the more requests are running."""
 
     def __init__(self, *, runner_id: str, slots: int) -> None:
         super().__init__(runner_id=runner_id)
@@ -40,7 +40,7 @@
         self.peak_running = 0
 
     def describe(self) -> dict[str, Any]:
-        """Return counts of chats, tokens and cached prompt characters."""
+        """Return counts of chats, tokens, prompt characters and running requests."""
         running = {"running": self._running, "peak_running": self.peak_running}
         return {**self.stats, **running}
 
@@ -51,8 +51,10 @@
     async def _chat(self, request: web.Request) -> web.StreamResponse:
         if self.faults.draining:
             self.stats["turned_away"] += 1
-            sent = {**self._headers(request), headers.DRAINING: "1"}
-            return web.json_response({"error": "leaving"}, status=503, headers=sent)
+            response_headers = {**self._headers(request), headers.DRAINING: "1"}
+            return web.json_response(
+                {"error": "leaving"}, status=503, headers=response_headers
+            )
         body = await request.json()
         self.last_start_s = time.time()
         self.stats["chats"] += 1
@@ -104,26 +106,28 @@
         self, request: web.Request, tokens: int, padding: str
     ) -> web.StreamResponse:
         request_id = request.headers.get(headers.REQUEST_ID, "")
-        kept = RetainedStream()
+        stream = RetainedStream()
         resumable = headers.RESUMABLE in request.headers
-        work = asyncio.create_task(self._fill(request, kept, tokens, padding))
+        generation = asyncio.create_task(self._fill(request, stream, tokens, padding))
         if resumable:
-            self._streams[request_id] = kept
-            work.add_done_callback(lambda _: self._schedule_removal(request_id))
-        cut_at = tokens // 2 if self.faults.break_after else -1
+            self._streams[request_id] = stream
+            generation.add_done_callback(lambda _: self._schedule_removal(request_id))
+        abort_at = tokens // 2 if self.faults.break_after else -1
         try:
-            return await self._send(request, kept, offset=0, cut_at=cut_at)
+            return await self._send(request, stream, offset=0, abort_at=abort_at)
         finally:
             if not resumable:
-                work.cancel()
+                generation.cancel()
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        kept = self._streams.get(request.match_info["request_id"])
-        if kept is None:
-            sent = self._headers(request)
-            return web.json_response({"error": "gone"}, status=404, headers=sent)
+        stream = self._streams.get(request.match_info["request_id"])
+        if stream is None:
+            response_headers = self._headers(request)
+            return web.json_response(
+                {"error": "gone"}, status=404, headers=response_headers
+            )
         self.stats["resumed"] += 1
-        return await self._send(request, kept, offset=int(request.query["after"]))
+        return await self._send(request, stream, offset=int(request.query["after"]))
 
     async def _send(
         self,
@@ -131,7 +135,7 @@
         stream: RetainedStream,
         *,
         offset: int,
-        cut_at: int = -1,
+        abort_at: int = -1,
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=self._headers(request))
         response.content_type = "text/event-stream"
@@ -141,7 +145,9 @@
         with stream.reader():
             async for chunk in stream.read_from(offset):
                 await response.write(chunk)
-                if index == cut_at and self._inject_disconnect(request, "break_after"):
+                if index == abort_at and self._inject_disconnect(
+                    request, "break_after"
+                ):
                     return response
                 index += 1
         await response.write_eof()
@@ -168,18 +174,18 @@
         loop.call_later(RETENTION_S, self._streams.pop, request_id, None)
 
     async def _generate(self, request: web.Request, tokens: int) -> AsyncIterator[str]:
-        # Each word names the request, so that a reader finds any crossed answer.
-        name = request.headers.get(headers.REQUEST_ID, "?")
+        # Each word contains the request id, so that callers detect mixed-up responses.
+        request_id = request.headers.get(headers.REQUEST_ID, "?")
         for index in range(tokens):
             await asyncio.sleep(TOKEN_MS * (1 + self._running / self._slots) / 1000)
             self.stats["tokens"] += 1
-            yield f"{name}:{index} "
+            yield f"{request_id}:{index} "
 
     def _headers(self, request: web.Request) -> dict[str, str]:
-        echoed = request.headers.get(headers.REQUEST_ID, "")
+        echoed_id = request.headers.get(headers.REQUEST_ID, "")
         if self._consume_fault("crossed"):
-            echoed = "someone-else"
-        return {headers.REQUEST_ID: echoed}
+            echoed_id = "someone-else"
+        return {headers.REQUEST_ID: echoed_id}
 
     def _inject_disconnect(self, request: web.Request, name: str) -> bool:
         if not self._consume_fault(name):
@@ -189,8 +195,8 @@
         return True
 
     def _consume_fault(self, name: str) -> bool:
-        left = getattr(self.faults, name)
-        if left <= 0:
+        remaining = getattr(self.faults, name)
+        if remaining <= 0:
             return False
-        setattr(self.faults, name, left - 1)
+        setattr(self.faults, name, remaining - 1)
         return True
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that counts every execution."""
+"""Fake plain service that counts every execution."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class PlainService(StandinRunner):
-    """Execute whatever comes and count it by its mark."""
+    """Executes every request and counts executions by mark, i.e. its body or path."""
 
     def __init__(self, *, runner_id: str) -> None:
         super().__init__(runner_id=runner_id)
         self.executions: Counter[str] = Counter()
 
     def describe(self) -> dict[str, Any]:
-        """Return how often each mark was executed."""
+        """Return the number of executions by mark."""
         return {"executions": dict(self.executions)}
 
     def _add_routes(self, router: web.UrlDispatcher) -> None:
@@ -36,25 +36,28 @@
         self.executions[mark] += 1
         self.last_start_s = time.time()
         await asyncio.sleep((WORK_MS + self.faults.stall_ms) / 1000)
-        echoed = request.headers.get(headers.REQUEST_ID, "")
+        echoed_id = request.headers.get(headers.REQUEST_ID, "")
         if self.faults.break_before > 0 and request.transport is not None:
             self.faults.break_before -= 1
             request.transport.abort()
         if self.faults.crossed > 0:
             self.faults.crossed -= 1
-            echoed = "someone-else"
-        done = {"done": mark, "by": self._runner_id}
-        sent = {headers.REQUEST_ID: echoed}
+            echoed_id = "someone-else"
+        result = {"done": mark, "by": self._runner_id}
+        response_headers = {headers.REQUEST_ID: echoed_id}
         if self.faults.padding_bytes:
-            return await self._respond_in_parts(request, done, sent)
-        return web.json_response(done, headers=sent)
+            return await self._respond_in_parts(request, result, response_headers)
+        return web.json_response(result, headers=response_headers)
 
     async def _respond_in_parts(
-        self, request: web.Request, done: dict[str, str], sent: dict[str, str]
+        self,
+        request: web.Request,
+        result: dict[str, str],
+        response_headers: dict[str, str],
     ) -> web.StreamResponse:
-        padded = done | {"padding": "x" * self.faults.padding_bytes}
+        padded = result | {"padding": "x" * self.faults.padding_bytes}
         body = json.dumps(padded).encode()
-        response = web.StreamResponse(headers=sent)
+        response = web.StreamResponse(headers=response_headers)
         response.content_type = "application/json"
         response.content_length = len(body)
         await response.prepare(request)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
@@ -1,4 +1,4 @@
-"""Switches that make a stand-in runner fail."""
+"""Injected faults of a fake runner."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class RunnerFaults(msgspec.Struct, kw_only=True):
-    """How many of the next exchanges fail in each way; all 0 at the start."""
+    """Number of next requests to fail in each way, and permanent faults."""
 
     break_before: int = 0
-    """Execute, then break the connection before the first byte."""
+    """Execute the request and abort the connection before the first byte."""
     break_after: int = 0
-    """Break the connection after a part of the answer."""
+    """Abort the connection after a part of the response."""
     crossed: int = 0
-    """Answer with another request's id."""
+    """Respond with the id of another request."""
     no_end_mark: int = 0
-    """End a stream in order, but without its end mark."""
+    """Complete a stream without its end marker."""
     draining: bool = False
-    """Say so on every answer, and take no new work."""
+    """Reject every request with a header that reports draining."""
     padding_bytes: int = 0
-    """Make a plain service's answer so much longer, and send it in two parts."""
+    """Padding of a plain service's responses, which are then sent in two parts."""
     stall_ms: float = 0.0
-    """Wait so long before the first byte, every time."""
+    """Delay of every response before its first byte."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/standin_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/standin_runner.py
@@ -1,4 +1,4 @@
-"""What the stand-in runners share: readiness, figures and fault switches."""
+"""Base class of the fake runners, with readiness, statistics and fault injection."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class StandinRunner:
-    """Serve the control calls; a subclass adds its work."""
+    """Serves the control routes; subclasses add the routes for requests."""
 
     def __init__(self, *, runner_id: str) -> None:
         self._runner_id = runner_id
         self.faults = RunnerFaults()
         self.last_start_s = 0.0
-        """Wall clock of the last piece of work begun."""
+        """Wall-clock time at which the last request was started."""
 
     def application(self) -> web.Application:
-        """Return the application with its routes."""
+        """Return the web application with all routes."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_get("/ready", self._ready)
         app.router.add_get("/stats", self._get_stats)
@@ -31,7 +31,7 @@
         return app
 
     def describe(self) -> dict[str, Any]:
-        """Return the figures of the work done; a subclass says which."""
+        """Return statistics of the requests served; implemented by subclasses."""
         raise NotImplementedError
 
     def _add_routes(self, router: web.UrlDispatcher) -> None:
--- a/packages/clementineyoke-standins/tests/steps/experiment_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/experiment_steps.py
@@ -17,7 +17,7 @@
 
 
 @given(
-    "a report of a day with a worth of {worth:g}, {calls:d} calls to the store and a"
+    "a day report with a worth of {worth:g}, {calls:d} calls to the store and a"
     " broken rule"
 )
 def given_report(context, worth, calls):
@@ -34,8 +34,8 @@
     )
 
 
-@then("its figures hold the worth, the amount and price of the calls, and the rule")
-def check_figures(context):
+@then("its metrics contain the worth, the amount and price of the calls, and the rule")
+def check_metrics(context):
     assert context.report.metrics() == {
         "worth": 0.5,
         "broken rules": 1.0,
@@ -49,8 +49,8 @@
     }
 
 
-@then("a text that is no report is refused with what is missing")
-def check_refused(context):
+@then("parsing an invalid report fails with the missing part in the error")
+def check_rejected(context):
     for text, missing in (('{"G": 0.5}', "parts"), ("[]", "list"), ("{", "Expecting")):
         try:
             read_report(text)
@@ -60,19 +60,19 @@
             raise AssertionError(text)
 
 
-@given("pairs of which the second is better by 0.01 to 0.03")
+@given("pairs whose second value is higher by 0.01 to 0.03")
 def given_clear(context):
     context.first = [0.5, 0.6, 0.7, 0.4]
     context.second = [0.51, 0.63, 0.72, 0.42]
 
 
-@given("pairs of which half are better by 0.02 and half are worse")
-def given_luck(context):
+@given("pairs whose second value is higher by 0.02 in one half and lower in the other")
+def given_unclear(context):
     context.first = [0.5, 0.6, 0.7, 0.4]
     context.second = [0.52, 0.58, 0.72, 0.38]
 
 
-@then("the difference is clear, and the same whenever it is worked out")
+@then("the difference is clear, and computing it again gives the same result")
 def check_clear(context):
     found = compare(context.first, context.second)
     assert found.is_clear
@@ -87,9 +87,9 @@
     assert str(found).endswith("unclear")
 
 
-@when("a play of a small twin is put together")
-def put_together(context):
-    player = BenchmarkLauncher(
+@when("the arguments for the small variant of a day are built")
+def build_arguments(context):
+    launcher = BenchmarkLauncher(
         bench=Path("bench"),
         arms={"new": Path("new")},
         folder=Path("folder"),
@@ -98,12 +98,12 @@
         charges_cpu=True,
         is_small=True,
     )
-    context.play = ArmRun("new", Case("/sites/large.toml", DAY, 7))
-    context.arguments = player._arguments(context.play, Path("report"))
+    context.arm_run = ArmRun("new", Case("/sites/large.toml", DAY, 7))
+    context.arguments = launcher._arguments(context.arm_run, Path("report"))
 
 
-@then("the bench is told the day's path, the seed and that it is small")
+@then("the benchmark gets the path of the day, the seed and the small option")
 def check_arguments(context):
-    assert context.play.label == "new-large-uneven-7"
+    assert context.arm_run.label == "new-large-uneven-7"
     assert context.arguments[:5] == ["run", "/sites/large.toml", DAY, "--seed", "7"]
     assert context.arguments[-1] == "--small"
