--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
@@ -6,7 +6,7 @@
 
 
 class CallerTally:
-    """Counts of the outcomes that callers observed."""
+    """Counters of outcomes, faulty responses and latencies."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_player.py
@@ -66,7 +66,7 @@
         self._job_slots = asyncio.Semaphore(jobs)
 
     async def run(self, arm_run: ArmRun) -> DayReport | None:
-        """Return the report of a run, or None if the benchmark wrote no valid one."""
+        """Run the benchmark; return its report, or None if it wrote no valid one."""
         report = self._folder / f"{arm_run.label}.json"
         report.unlink(missing_ok=True)
         async with self._job_slots:
@@ -85,8 +85,8 @@
             print(f"{arm_run.label}: no report: {error}")
             return None
 
-    def _arguments(self, play: ArmRun, report: Path) -> list[str]:
-        site, day, seed = play.case
+    def _arguments(self, arm_run: ArmRun, report: Path) -> list[str]:
+        site, day, seed = arm_run.case
         arguments = ["run", site, day, "--seed", str(seed)]
         arguments += ["--report", str(report), "--why", self._why]
         if self._is_small:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
@@ -6,7 +6,7 @@
 
 
 class RunnerFaults(msgspec.Struct, kw_only=True):
-    """Number of next requests to fail in each way, and permanent faults."""
+    """Number of next requests to fail in each way, and lasting faults; initially 0."""
 
     break_before: int = 0
     """Execute the request and abort the connection before the first byte."""
