--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/limits_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/limits_case.py
@@ -13,7 +13,7 @@
 NODES = 6
 RATE_PER_S = 100.0
 BURST = 200.0
-ONE_WAY_MS = 1.0
+ONE_WAY_DELAY_MS = 1.0
 BASE_RATE_PER_S = 50.0
 SURGE_RATE_PER_S = 1_000.0
 SURGE_AT_S = 20.0
@@ -75,8 +75,8 @@
             allowed_s.append(now_s)
             continue
         tokens = team_shares[node].tokens_to_request(now_ms=now_ms)
-        grant = budget.grant(tokens, now_ms=now_ms + ONE_WAY_MS)
-        pending_grant = PendingGrant(now_ms + 2 * ONE_WAY_MS, node, grant.tokens)
+        grant = budget.grant(tokens, now_ms=now_ms + ONE_WAY_DELAY_MS)
+        pending_grant = PendingGrant(now_ms + 2 * ONE_WAY_DELAY_MS, node, grant.tokens)
         heapq.heappush(pending, pending_grant)
     return allowed_s
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/simulation.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/simulation.py
@@ -24,7 +24,7 @@
     refused: int
     reuse: float
     """Share of returning requests whose runner had their context cached."""
-    reuse_possible: float
+    max_reuse: float
     """Share of returning requests whose context was cached on any runner."""
     worst_skew: float
     """Maximum over all samples of (largest load - SLACK_SLOTS) / mean load."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
@@ -80,9 +80,9 @@
     _report(reports_by_arm, FOLDER / f"{name}.json")
 
 
-def _resolve_day(word: str) -> str:
+def _resolve_day(day: str) -> str:
     """Return the name of a day unchanged, and the path of a TOML file made absolute."""
-    return str(Path(word).resolve()) if word.endswith(".toml") else word
+    return str(Path(day).resolve()) if day.endswith(".toml") else day
 
 
 def _split_option(text: object) -> list[str]:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
@@ -15,8 +15,8 @@
         self.latencies_s: list[float] = []
         self.not_run_marks: set[str] = set()
         """Marks of score posts whose last reported outcome was ``not_run``."""
-        self.repeated_answers = 0
-        self.repeats_elsewhere = 0
+        self.stored_responses = 0
+        self.repeated_posts = 0
 
     def percentile_s(self, share: float) -> float:
         """Return a percentile (as a share) of the time to the complete response."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -107,7 +107,7 @@
             return
         if self._rng.random() < REPEAT_SHARE:
             address = self._rng.choice(self._bootstrap)
-            self._tally.repeats_elsewhere += 1
+            self._tally.repeated_posts += 1
             await self._try_post(address, team, mark)
 
     async def _try_chat(
@@ -196,7 +196,7 @@
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return "unknown"
         if headers.REPEATED in response.headers:
-            self._tally.repeated_answers += 1
+            self._tally.stored_responses += 1
         if response.status == STATUS_OK and body.get("done") != mark:
             self._tally.crossed += 1
         return response.headers.get(headers.OUTCOME, "unknown")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
@@ -55,11 +55,11 @@
     stop_exit_code: int
     stopped_address: str
     killed_address: str
-    late_work_s: float
+    last_start_after_leave_s: float
     """Time from listing the runner as leaving to the start of its last request."""
     settings_in_force_s: float
     platform_calls: dict[str, int]
-    seconds: float
+    duration_s: float
 
 
 class DemoScenario:
@@ -71,7 +71,7 @@
         self._tally = CallerTally()
         self._runner_left_s = 0.0
         self._stop_exit_code = -1
-        self._in_force_s = -1.0
+        self._settings_in_force_s = -1.0
 
     async def run(self) -> DemoResult:
         """Start the processes, run the scenario and stop the processes."""
@@ -139,7 +139,7 @@
         )
         async with _platform_outage():
             await _wait_in_force(alive, accepted["version"])
-            self._in_force_s = time.monotonic() - started_s
+            self._settings_in_force_s = time.monotonic() - started_s
             await asyncio.sleep(OUTAGE_S)
 
     async def _apply_settings(self, fleet: FleetProcesses) -> None:
@@ -166,10 +166,11 @@
             stop_exit_code=self._stop_exit_code,
             stopped_address=fleet.nodes[1]["address"],
             killed_address=fleet.nodes[2]["address"],
-            late_work_s=stats["engine-1"]["last_start_s"] - self._runner_left_s,
-            settings_in_force_s=self._in_force_s,
+            last_start_after_leave_s=stats["engine-1"]["last_start_s"]
+            - self._runner_left_s,
+            settings_in_force_s=self._settings_in_force_s,
             platform_calls=calls,
-            seconds=seconds,
+            duration_s=seconds,
         )
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -36,7 +36,7 @@
         for address, count in tally.cut_by_node.items()
         if address not in (result.stopped_address, result.killed_address)
     )
-    last_start_s = max(0.0, result.late_work_s)
+    last_start_s = max(0.0, result.last_start_after_leave_s)
     in_force_s = result.settings_in_force_s
     control_rates = _control_bytes_per_s(result)
     return [
@@ -108,7 +108,7 @@
 
 def _control_bytes_per_s(result: DemoResult) -> tuple[float, float]:
     rates = [
-        sum(status["control_sent_bytes"].values()) / result.seconds
+        sum(status["control_sent_bytes"].values()) / result.duration_s
         for status in result.node_status.values()
     ]
     return sum(rates) / len(rates), max(rates)
@@ -122,9 +122,7 @@
 
 def _repeats(result: DemoResult) -> str:
     tally = result.tally
-    return (
-        f"{tally.repeats_elsewhere} ({tally.repeated_answers} got the stored response)"
-    )
+    return f"{tally.repeated_posts} ({tally.stored_responses} got the stored response)"
 
 
 def _join(counts: dict[str, int]) -> str:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/traffic.py
@@ -85,7 +85,7 @@
         while True:
             chat = self._rng.choice(chats)
             if chat.chat_id not in self._chats_in_flight:
-                self._spawn(self._send_turn(chat))
+                self._start_request(self._send_turn(chat))
             await asyncio.sleep(self._rng.expovariate(self._chats_per_s))
 
     async def _send_turn(self, chat: Chat) -> None:
@@ -100,10 +100,10 @@
         while True:
             number += 1
             team = self._rng.choice(self._deployment.teams)
-            self._spawn(self._caller.post_score(team, f"post-{number}"))
+            self._start_request(self._caller.post_score(team, f"post-{number}"))
             await asyncio.sleep(self._rng.expovariate(self._posts_per_s))
 
-    def _spawn(self, request: Any) -> None:
+    def _start_request(self, request: Any) -> None:
         task = asyncio.create_task(request)
         self._in_flight.add(task)
         task.add_done_callback(self._in_flight.discard)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/plain_service.py
@@ -13,7 +13,7 @@
 from clementineyoke_standins.runners.standin_runner import StandinRunner
 from clementineyoke_wire import headers
 
-WORK_MS = 3.0
+EXECUTION_MS = 3.0
 
 
 class PlainService(StandinRunner):
@@ -35,7 +35,7 @@
         mark = body or request.raw_path
         self.executions[mark] += 1
         self.last_start_s = time.time()
-        await asyncio.sleep((WORK_MS + self.faults.stall_ms) / 1000)
+        await asyncio.sleep((EXECUTION_MS + self.faults.stall_ms) / 1000)
         echoed_id = request.headers.get(headers.REQUEST_ID, "")
         if self.faults.break_before > 0 and request.transport is not None:
             self.faults.break_before -= 1
@@ -63,7 +63,7 @@
         await response.prepare(request)
         half = len(body) // 2
         await response.write(body[:half])
-        await asyncio.sleep(WORK_MS / 1000)
+        await asyncio.sleep(EXECUTION_MS / 1000)
         await response.write(body[half:])
         await response.write_eof()
         return response
