--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
@@ -61,8 +61,8 @@
     )
     scale = f"{RUNNERS} runners, {RATE_PER_S:g} requests a second, {DURATION_S:g} s"
     return [
-        BenchCase(name, metric, on, off, bounds.get(name), False, seed, scale)
-        for name, metric, on, off in comparisons
+        BenchCase(name, metric, share, baseline, bounds.get(name), False, seed, scale)
+        for name, metric, share, baseline in comparisons
     ]
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
@@ -80,10 +80,12 @@
     cases: list[BenchCase] = []
     for table in tables:
         scale = f"{table.size.nodes} nodes, {table.size.runners} runners"
-        for name, metric, value, baseline, higher in _compute_metrics(table):
+        for name, metric, value, baseline, higher_is_better in _compute_metrics(table):
             bound = bounds.get(name)
             cases.append(
-                BenchCase(name, metric, value, baseline, bound, higher, seed, scale)
+                BenchCase(
+                    name, metric, value, baseline, bound, higher_is_better, seed, scale
+                )
             )
     return cases
 
@@ -94,8 +96,8 @@
     stale = table.runs["stale bounded"].metrics
     fleet_metrics = fleet.metrics
     name = _case_name(table)
-    over = fleet_metrics.grants_over_bound / fleet_metrics.requests
-    stale_over = stale.grants_over_bound / stale.requests
+    over_bound_share = fleet_metrics.grants_over_bound / fleet_metrics.requests
+    stale_over_bound_share = stale.grants_over_bound / stale.requests
     metrics = [
         (
             f"skew.{name}",
@@ -104,7 +106,13 @@
             oracle.worst_skew,
             False,
         ),
-        (f"over_bound.{name}", "share of grants", over, stale_over, False),
+        (
+            f"over_bound.{name}",
+            "share of grants",
+            over_bound_share,
+            stale_over_bound_share,
+            False,
+        ),
         (
             f"worst_excess.{name}",
             "slots over the true bound",
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/workload.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/workload.py
@@ -64,8 +64,8 @@
         at_s += rng.expovariate(rate_per_s)
         if at_s >= shape.seconds:
             return requests
-        hot = _is_hot(shape, at_s, rate_per_s, rng)
-        requests.append(_make_request(shape, at_s, hot, open_chats, rng))
+        is_hot = _is_hot(shape, at_s, rate_per_s, rng)
+        requests.append(_make_request(shape, at_s, is_hot, open_chats, rng))
 
 
 def _is_hot(shape: Shape, at_s: float, rate_per_s: float, rng: Random) -> bool:
@@ -78,12 +78,12 @@
 def _make_request(
     shape: Shape,
     at_s: float,
-    hot: bool,
+    is_hot: bool,
     open_chats: list[tuple[int, str]],
     rng: Random,
 ) -> Request:
     duration_ms = _duration_ms(shape, rng)
-    if hot and rng.random() < HOT_PROMPT_SHARE:
+    if is_hot and rng.random() < HOT_PROMPT_SHARE:
         team = rng.randrange(shape.hot_teams)
         key = chat_key(team=str(team), model=MODEL, chat_id=None, prompt=SHARED_PROMPT)
         return Request(at_s * 1000, team, f"prompt-{team}", key, duration_ms, True)
@@ -93,7 +93,7 @@
         index = int(len(open_chats) * (1.0 - rng.random() ** 2))
         team, chat = open_chats[min(index, len(open_chats) - 1)]
     else:
-        team = rng.randrange(shape.hot_teams if hot else shape.teams)
+        team = rng.randrange(shape.hot_teams if is_hot else shape.teams)
         chat = f"chat-{len(open_chats)}"
         open_chats.append((team, chat))
     key = chat_key(team=str(team), model=MODEL, chat_id=chat, prompt="")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -80,7 +80,7 @@
         }
         started_s = time.monotonic()
         for attempt in range(MAX_ATTEMPTS):
-            address = await self._address(
+            address = await self._choose_address(
                 chat.team, chat.chat_id, attempt, chat.placement
             )
             if await self._try_chat(address, chat, body):
@@ -92,7 +92,7 @@
         """Post a score; retry with its idempotency key until the outcome is known."""
         for attempt in range(MAX_ATTEMPTS):
             outcome = await self._try_post(
-                await self._address(team, "", attempt), team, mark
+                await self._choose_address(team, "", attempt), team, mark
             )
             if outcome == "ran":
                 self._tally.not_run_marks.discard(mark)
@@ -115,7 +115,7 @@
     ) -> bool:
         url = f"http://{address[0]}:{address[1]}/v1/chat/completions"
         request_headers = {
-            **self._auth(chat.team),
+            **self._auth_headers(chat.team),
             headers.CHAT_ID: chat.chat_id,
             headers.PLACEMENT: chat.placement,
             headers.RESUMABLE: "1",
@@ -125,7 +125,7 @@
             async with self._session.post(
                 url, json=body, headers=request_headers
             ) as response:
-                received = await _read(response)
+                received = await _read_body(response)
         except (aiohttp.ClientError, TimeoutError):
             self._tally.outcomes["chat_no_connection"] += 1
             self._drop_first_address(chat.team, chat.chat_id)
@@ -153,7 +153,7 @@
     ) -> ResponseBody:
         """Resume an interrupted stream through other nodes."""
         request_headers = {
-            **self._auth(chat.team),
+            **self._auth_headers(chat.team),
             headers.RESUME: response.headers[headers.RESUME],
         }
         others = [node for node in self._bootstrap if node != address]
@@ -163,7 +163,7 @@
                 async with self._session.get(
                     url, headers=request_headers
                 ) as rest_response:
-                    rest = await _read(rest_response)
+                    rest = await _read_body(rest_response)
             except (aiohttp.ClientError, TimeoutError):
                 continue
             if rest_response.status == STATUS_OK and rest.is_complete:
@@ -174,18 +174,18 @@
     def _check_content(
         self, response: aiohttp.ClientResponse, text: str, tokens: int
     ) -> None:
-        name = response.headers[headers.REQUEST_ID]
+        request_id = response.headers[headers.REQUEST_ID]
         lines = [line for line in text.split("\n\n") if line.startswith("data: {")]
         words = [
             json.loads(line[6:])["choices"][0]["delta"]["content"] for line in lines
         ]
-        if words != [f"{name}:{index} " for index in range(tokens)]:
+        if words != [f"{request_id}:{index} " for index in range(tokens)]:
             self._tally.crossed += 1
 
     async def _try_post(self, address: tuple[str, int], team: str, mark: str) -> str:
         service = self._deployment.service
         url = f"http://{address[0]}:{address[1]}/v1/services/{service}/post"
-        request_headers = {**self._auth(team), headers.IDEMPOTENCY_KEY: mark}
+        request_headers = {**self._auth_headers(team), headers.IDEMPOTENCY_KEY: mark}
         try:
             async with self._session.post(
                 url, data=mark, headers=request_headers
@@ -201,7 +201,7 @@
             self._tally.crossed += 1
         return response.headers.get(headers.OUTCOME, "unknown")
 
-    async def _address(
+    async def _choose_address(
         self, team: str, chat_id: str, attempt: int, placement: str = ""
     ) -> tuple[str, int]:
         cached = self._cached_addresses.get((team, chat_id))
@@ -213,7 +213,7 @@
     async def _fetch_addresses(
         self, team: str, chat_id: str, placement: str
     ) -> CachedAddresses:
-        request_headers = self._auth(team)
+        request_headers = self._auth_headers(team)
         params = {}
         if chat_id:
             request_headers[headers.CHAT_ID] = chat_id
@@ -242,12 +242,12 @@
                 addresses=cached.addresses[1:]
             )
 
-    def _auth(self, team: str) -> dict[str, str]:
+    def _auth_headers(self, team: str) -> dict[str, str]:
         key = f"{self._deployment.group}/{team}/demo-key-{team}"
         return {"Authorization": f"Bearer {key}"}
 
 
-async def _read(response: aiohttp.ClientResponse) -> ResponseBody:
+async def _read_body(response: aiohttp.ClientResponse) -> ResponseBody:
     body = b""
     try:
         async for chunk in response.content.iter_any():
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
@@ -83,7 +83,7 @@
             started_s = time.monotonic()
             async with make_session(CALL_TIMEOUT_S) as session:
                 await self._run_traffic(fleet, session)
-            return await self._collect(fleet, time.monotonic() - started_s)
+            return await self._collect_result(fleet, time.monotonic() - started_s)
 
     async def _run_traffic(
         self, fleet: FleetProcesses, session: aiohttp.ClientSession
@@ -147,7 +147,9 @@
         client = operator_client(admin_url(fleet.nodes[0]))
         await client.change_settings(whole_change(edits, based_on=0))
 
-    async def _collect(self, fleet: FleetProcesses, seconds: float) -> DemoResult:
+    async def _collect_result(
+        self, fleet: FleetProcesses, seconds: float
+    ) -> DemoResult:
         stats = await read_runner_stats(fleet.runners)
         async with (
             aiohttp.ClientSession() as session,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -42,9 +42,9 @@
     return [
         ReportLine("chats completed", str(outcomes["chat_whole"]), None),
         ReportLine("score posts executed", str(outcomes["post_ran"]), None),
-        ReportLine("all outcomes", _join(outcomes), None),
-        ReportLine("p50 / p95 of a completed chat", _latency(result), None),
-        ReportLine("1 highest peak over mean peak", _skew(result), None),
+        ReportLine("all outcomes", _format_counts(outcomes), None),
+        ReportLine("p50 / p95 of a completed chat", _format_latency(result), None),
+        ReportLine("1 highest peak over mean peak", _format_skew(result), None),
         ReportLine("2 mixed-up responses", str(tally.crossed), tally.crossed == 0),
         ReportLine(
             "2 streams cut, except by the kill",
@@ -53,7 +53,7 @@
         ),
         ReportLine('3 false "not run"', str(false_not_run), false_not_run == 0),
         ReportLine("4 duplicate executions", str(duplicates), duplicates == 0),
-        ReportLine("4 posts repeated at other nodes", _repeats(result), None),
+        ReportLine("4 posts repeated at other nodes", _format_repeats(result), None),
         ReportLine(
             "5 leaving runner's last start",
             f"{last_start_s:.2f} s",
@@ -70,13 +70,13 @@
             f"{in_force_s:.2f} s",
             0 <= in_force_s < MAX_SETTINGS_S,
         ),
-        ReportLine("reuse of prompt prefixes", f"{_reuse(result):.1%}", None),
+        ReportLine("reuse of prompt prefixes", f"{_reuse_share(result):.1%}", None),
         ReportLine(
             "control bytes/s per node",
             f"mean {control_rates[0]:.0f}, max {control_rates[1]:.0f}",
             control_rates[1] <= MAX_CONTROL_BYTES_PER_S,
         ),
-        ReportLine("platform calls", _join(result.platform_calls), None),
+        ReportLine("platform calls", _format_counts(result.platform_calls), None),
     ]
 
 
@@ -89,7 +89,7 @@
     )
 
 
-def _skew(result: DemoResult) -> str:
+def _format_skew(result: DemoResult) -> str:
     peaks = [
         stats["peak_running"]
         for stats in result.runner_stats.values()
@@ -98,7 +98,7 @@
     return f"{max(peaks) / (sum(peaks) / len(peaks)):.2f} (peaks {sorted(peaks)})"
 
 
-def _reuse(result: DemoResult) -> float:
+def _reuse_share(result: DemoResult) -> float:
     cached = prompts = 0
     for stats in result.runner_stats.values():
         cached += stats.get("cached_characters", 0)
@@ -114,16 +114,16 @@
     return sum(rates) / len(rates), max(rates)
 
 
-def _latency(result: DemoResult) -> str:
+def _format_latency(result: DemoResult) -> str:
     p50_ms = result.tally.percentile_s(0.5) * 1000
     p95_ms = result.tally.percentile_s(0.95) * 1000
     return f"{p50_ms:.0f} ms / {p95_ms:.0f} ms"
 
 
-def _repeats(result: DemoResult) -> str:
+def _format_repeats(result: DemoResult) -> str:
     tally = result.tally
     return f"{tally.repeated_posts} ({tally.stored_responses} got the stored response)"
 
 
-def _join(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/experiment/day_report.py
@@ -11,7 +11,7 @@
 
     worth: float
     parts: dict[str, float]
-    """Share earned in each part of the score, such as the worst windows."""
+    """Share earned in each part, such as the whole day or the worst windows."""
     prices: dict[str, float]
     """Deduction from the score for each kind of cost."""
     amounts: dict[str, float]
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
@@ -45,10 +45,10 @@
         return {**self.stats, **running}
 
     def _add_routes(self, router: web.UrlDispatcher) -> None:
-        router.add_post("/v1/chat/completions", self._chat)
-        router.add_get("/v1/streams/{request_id}", self._resume)
+        router.add_post("/v1/chat/completions", self._handle_chat)
+        router.add_get("/v1/streams/{request_id}", self._handle_resume)
 
-    async def _chat(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_chat(self, request: web.Request) -> web.StreamResponse:
         if self.faults.draining:
             self.stats["turned_away"] += 1
             response_headers = {**self._headers(request), headers.DRAINING: "1"}
@@ -87,7 +87,7 @@
         tokens = int(body.get("max_tokens", DEFAULT_TOKENS))
         if body.get("stream"):
             padding = "x" * int(body.get("pad_characters", 0))
-            return await self._stream(request, tokens, padding)
+            return await self._respond_streamed(request, tokens, padding)
         return await self._respond_complete(request, tokens, prompt)
 
     async def _respond_complete(
@@ -102,24 +102,26 @@
         }
         return web.json_response(body, headers=self._headers(request))
 
-    async def _stream(
+    async def _respond_streamed(
         self, request: web.Request, tokens: int, padding: str
     ) -> web.StreamResponse:
         request_id = request.headers.get(headers.REQUEST_ID, "")
         stream = RetainedStream()
-        resumable = headers.RESUMABLE in request.headers
-        generation = asyncio.create_task(self._fill(request, stream, tokens, padding))
-        if resumable:
+        is_resumable = headers.RESUMABLE in request.headers
+        generation = asyncio.create_task(
+            self._produce_stream(request, stream, tokens, padding)
+        )
+        if is_resumable:
             self._streams[request_id] = stream
             generation.add_done_callback(lambda _: self._schedule_removal(request_id))
         abort_at = tokens // 2 if self.faults.break_after else -1
         try:
-            return await self._send(request, stream, offset=0, abort_at=abort_at)
+            return await self._send_stream(request, stream, offset=0, abort_at=abort_at)
         finally:
-            if not resumable:
+            if not is_resumable:
                 generation.cancel()
 
-    async def _resume(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_resume(self, request: web.Request) -> web.StreamResponse:
         stream = self._streams.get(request.match_info["request_id"])
         if stream is None:
             response_headers = self._headers(request)
@@ -127,9 +129,11 @@
                 {"error": "gone"}, status=404, headers=response_headers
             )
         self.stats["resumed"] += 1
-        return await self._send(request, stream, offset=int(request.query["after"]))
+        return await self._send_stream(
+            request, stream, offset=int(request.query["after"])
+        )
 
-    async def _send(
+    async def _send_stream(
         self,
         request: web.Request,
         stream: RetainedStream,
@@ -153,7 +157,7 @@
         await response.write_eof()
         return response
 
-    async def _fill(
+    async def _produce_stream(
         self, request: web.Request, stream: RetainedStream, tokens: int, padding: str
     ) -> None:
         with self._count_running():
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/runner_faults.py
@@ -17,7 +17,7 @@
     no_end_mark: int = 0
     """Complete a stream without its end marker."""
     draining: bool = False
-    """Reject every request with a header that reports draining."""
+    """Reject every chat with a header that reports draining."""
     padding_bytes: int = 0
     """Padding of a plain service's responses, which are then sent in two parts."""
     stall_ms: float = 0.0
