--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policy_cases.py
@@ -1,4 +1,4 @@
-"""The cases that compare policies: skew, reuse, control bytes, decision time."""
+"""Benchmark cases that compare policies: skew, cache reuse, control traffic."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 )
 CHURN_SLICE = Shape("churn", 120, 90, 10_000, teams=1_500)
 CHURN_REPLACED = 15
-"""A tenth of the slice's runners, within the run instead of within an hour."""
+"""A tenth of the pool's runners, replaced within the run instead of within an hour."""
 
 
 class PolicyTable(NamedTuple):
-    """All policies' runs of one workload."""
+    """The runs of all policies on one workload."""
 
     size: FleetSize
     shape: Shape
@@ -57,8 +57,8 @@
 
 
 def run_tables(*, seed: int) -> list[PolicyTable]:
-    """Play every workload against every policy."""
-    plans = (
+    """Simulate every workload with every policy."""
+    scenarios = (
         (TODAY, EVENING, 0),
         (TODAY, FINALS_TODAY, 0),
         (SLICE, FINALS_SLICE, 0),
@@ -69,54 +69,62 @@
         PolicyTable(
             size, shape, run_policies(size, shape, seed=seed, replaced=replaced)
         )
-        for size, shape, replaced in plans
+        for size, shape, replaced in scenarios
     ]
 
 
 def to_cases(
     tables: list[PolicyTable], bounds: dict[str, float], *, seed: int
 ) -> list[BenchCase]:
-    """Return the cases that the tables give."""
+    """Return the benchmark cases computed from the tables."""
     cases: list[BenchCase] = []
     for table in tables:
         scale = f"{table.size.nodes} nodes, {table.size.runners} runners"
-        for name, metric, value, baseline, higher in _figures(table):
+        for name, metric, value, baseline, higher_is_better in _compute_metrics(table):
             bound = bounds.get(name)
             cases.append(
-                BenchCase(name, metric, value, baseline, bound, higher, seed, scale)
+                BenchCase(
+                    name, metric, value, baseline, bound, higher_is_better, seed, scale
+                )
             )
     return cases
 
 
-def _figures(table: PolicyTable) -> list[tuple[str, str, float, float, bool]]:
+def _compute_metrics(table: PolicyTable) -> list[tuple[str, str, float, float, bool]]:
     fleet = table.runs[FLEET]
-    oracle = table.runs["oracle"].measured
-    stale = table.runs["stale bounded"].measured
-    mine = fleet.measured
+    oracle = table.runs["oracle"].metrics
+    stale = table.runs["stale bounded"].metrics
+    fleet_metrics = fleet.metrics
     name = _case_name(table)
-    over = mine.grants_over_bound / mine.requests
-    stale_over = stale.grants_over_bound / stale.requests
-    figures = [
+    over_bound_share = fleet_metrics.grants_over_bound / fleet_metrics.requests
+    stale_over_bound_share = stale.grants_over_bound / stale.requests
+    metrics = [
         (
             f"skew.{name}",
             "largest load less one slot over the mean, worst sample",
-            mine.worst_skew,
+            fleet_metrics.worst_skew,
             oracle.worst_skew,
             False,
         ),
-        (f"over_bound.{name}", "share of grants", over, stale_over, False),
+        (
+            f"over_bound.{name}",
+            "share of grants",
+            over_bound_share,
+            stale_over_bound_share,
+            False,
+        ),
         (
             f"worst_excess.{name}",
             "slots over the true bound",
-            float(mine.worst_excess),
+            float(fleet_metrics.worst_excess),
             float(stale.worst_excess),
             False,
         ),
-        (f"reuse.{name}", "share of returns", mine.reuse, oracle.reuse, True),
-        (f"refused.{name}", "requests", float(mine.refused), 0.0, False),
+        (f"reuse.{name}", "share of returns", fleet_metrics.reuse, oracle.reuse, True),
+        (f"refused.{name}", "requests", float(fleet_metrics.refused), 0.0, False),
     ]
     if name == "finals_night":
-        figures += [
+        metrics += [
             (
                 "control.bytes_per_second_per_node",
                 "bytes sent a second a node, slots and gossip of eight pools",
@@ -125,7 +133,7 @@
                 False,
             ),
         ]
-    return figures
+    return metrics
 
 
 def _case_name(table: PolicyTable) -> str:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/standin.py
@@ -1,4 +1,4 @@
-"""Run a stand-in: the platform, or all runners of a deployment."""
+"""Runs the fake platform, or all fake runners of a deployment."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Standins:
-    """Stand-ins of the outside systems."""
+    """Fakes of external systems."""
 
     def platform(self, host_lag_ms: float = 500.0) -> None:
         """Serve the object API and the host list."""
@@ -33,11 +33,13 @@
     def runners(self, deployment: str) -> None:
         """Serve every runner of a deployment."""
         hosts = runner_hosts(DEPLOYMENTS[deployment])
-        served = [(_app_of(host), host["address"], host["port"]) for host in hosts]
+        served = [
+            (_make_application(host), host["address"], host["port"]) for host in hosts
+        ]
         asyncio.run(_serve(served))
 
 
-def _app_of(host: HostBody) -> web.Application:
+def _make_application(host: HostBody) -> web.Application:
     if host["role"] == "engine":
         engine = ModelEngine(runner_id=host["host"], slots=host["slots"])
         return engine.application()
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -1,87 +1,95 @@
-"""The table that the demo ends with: a line for each promise and measure."""
+"""Result table of the demo, with a line for each guarantee and measurement."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from clementineyoke_standins.demo.evening import LEAVE_BOUND_S
+from clementineyoke_standins.demo.evening import MAX_LEAVE_S
 from clementineyoke_standins.demo.runner_stats import count_executions
 
 if TYPE_CHECKING:
-    from clementineyoke_standins.demo.evening import EveningResult
+    from clementineyoke_standins.demo.evening import DemoResult
 
-SETTINGS_BOUND_S = 7.0
-CONTROL_BOUND_BYTES_PER_S = 5_000.0
+MAX_SETTINGS_S = 7.0
+MAX_CONTROL_BYTES_PER_S = 5_000.0
 
 
-class Line(NamedTuple):
-    """One line: what, the figure, and whether it is as promised."""
+class ReportLine(NamedTuple):
+    """A line of the table: name, value and whether the guarantee was met."""
 
     name: str
-    figure: str
-    holds: bool | None
-    """None where nothing was promised."""
+    value: str
+    is_met: bool | None
+    """None if the line has no guarantee."""
 
 
-def make_lines(result: EveningResult) -> list[Line]:
-    """Return the table's lines."""
+def make_lines(result: DemoResult) -> list[ReportLine]:
+    """Return the lines of the table, numbered by guarantee."""
     tally = result.tally
     outcomes = tally.outcomes
     executions = count_executions(result.runner_stats)
-    doubled = sum(1 for count in executions.values() if count > 1)
+    duplicates = sum(1 for count in executions.values() if count > 1)
     false_not_run = sum(1 for mark in tally.not_run_marks if executions.get(mark))
     cut_at_stop = tally.cut_by_node[result.stopped_address]
-    other_cuts = sum(
+    unexpected_cuts = sum(
         count
         for address, count in tally.cut_by_node.items()
         if address not in (result.stopped_address, result.killed_address)
     )
-    late_s = max(0.0, result.late_work_s)
+    last_start_s = max(0.0, result.last_start_after_leave_s)
     in_force_s = result.settings_in_force_s
-    control = _control_bytes_per_s(result)
+    control_rates = _control_bytes_per_s(result)
     return [
-        Line("chats answered whole", str(outcomes["chat_whole"]), None),
-        Line("score posts that ran", str(outcomes["post_ran"]), None),
-        Line("all outcomes", _join(outcomes), None),
-        Line("p50 / p95 of a whole chat", _latency(result), None),
-        Line("1 worst peak over mean peak", _skew(result), None),
-        Line("2 crossed or mixed answers", str(tally.crossed), tally.crossed == 0),
-        Line("2 cut answers but by the kill", str(other_cuts), other_cuts == 0),
-        Line('3 false "not run"', str(false_not_run), false_not_run == 0),
-        Line("4 doubled executions", str(doubled), doubled == 0),
-        Line("4 posts repeated elsewhere", _repeats(result), None),
-        Line("5 leaving runner's last work", f"{late_s:.2f} s", late_s < LEAVE_BOUND_S),
-        Line("6 cut by the planned stop", str(cut_at_stop), cut_at_stop == 0),
-        Line(
-            "6 exit code of the stop",
+        ReportLine("chats completed", str(outcomes["chat_whole"]), None),
+        ReportLine("score posts executed", str(outcomes["post_ran"]), None),
+        ReportLine("all outcomes", _format_counts(outcomes), None),
+        ReportLine("p50 / p95 of a completed chat", _format_latency(result), None),
+        ReportLine("1 highest peak over mean peak", _format_skew(result), None),
+        ReportLine("2 mixed-up responses", str(tally.crossed), tally.crossed == 0),
+        ReportLine(
+            "2 streams cut, except by the kill",
+            str(unexpected_cuts),
+            unexpected_cuts == 0,
+        ),
+        ReportLine('3 false "not run"', str(false_not_run), false_not_run == 0),
+        ReportLine("4 duplicate executions", str(duplicates), duplicates == 0),
+        ReportLine("4 posts repeated at other nodes", _format_repeats(result), None),
+        ReportLine(
+            "5 leaving runner's last start",
+            f"{last_start_s:.2f} s",
+            last_start_s < MAX_LEAVE_S,
+        ),
+        ReportLine("6 cut by the planned stop", str(cut_at_stop), cut_at_stop == 0),
+        ReportLine(
+            "6 exit code of stopped node",
             str(result.stop_exit_code),
             result.stop_exit_code == 0,
         ),
-        Line(
-            "7 in force, platform away",
+        ReportLine(
+            "7 settings in force, in outage",
             f"{in_force_s:.2f} s",
-            0 <= in_force_s < SETTINGS_BOUND_S,
+            0 <= in_force_s < MAX_SETTINGS_S,
         ),
-        Line("reuse of prompt prefixes", f"{_reuse(result):.1%}", None),
-        Line(
-            "control bytes a second a node",
-            f"mean {control[0]:.0f}, worst {control[1]:.0f}",
-            control[1] <= CONTROL_BOUND_BYTES_PER_S,
+        ReportLine("reuse of prompt prefixes", f"{_reuse_share(result):.1%}", None),
+        ReportLine(
+            "control bytes/s per node",
+            f"mean {control_rates[0]:.0f}, max {control_rates[1]:.0f}",
+            control_rates[1] <= MAX_CONTROL_BYTES_PER_S,
         ),
-        Line("platform calls", _join(result.platform_calls), None),
+        ReportLine("platform calls", _format_counts(result.platform_calls), None),
     ]
 
 
-def render(lines: list[Line]) -> str:
+def render(lines: list[ReportLine]) -> str:
     """Return the table as text."""
     marks = {True: "ok", False: "BROKEN", None: ""}
     width = max(len(line.name) for line in lines)
     return "\n".join(
-        f"{line.name:<{width}}  {marks[line.holds]:<6}  {line.figure}" for line in lines
+        f"{line.name:<{width}}  {marks[line.is_met]:<6}  {line.value}" for line in lines
     )
 
 
-def _skew(result: EveningResult) -> str:
+def _format_skew(result: DemoResult) -> str:
     peaks = [
         stats["peak_running"]
         for stats in result.runner_stats.values()
@@ -90,7 +98,7 @@
     return f"{max(peaks) / (sum(peaks) / len(peaks)):.2f} (peaks {sorted(peaks)})"
 
 
-def _reuse(result: EveningResult) -> float:
+def _reuse_share(result: DemoResult) -> float:
     cached = prompts = 0
     for stats in result.runner_stats.values():
         cached += stats.get("cached_characters", 0)
@@ -98,24 +106,24 @@
     return cached / max(1, prompts)
 
 
-def _control_bytes_per_s(result: EveningResult) -> tuple[float, float]:
+def _control_bytes_per_s(result: DemoResult) -> tuple[float, float]:
     rates = [
-        sum(status["control_sent_bytes"].values()) / result.seconds
+        sum(status["control_sent_bytes"].values()) / result.duration_s
         for status in result.node_status.values()
     ]
     return sum(rates) / len(rates), max(rates)
 
 
-def _latency(result: EveningResult) -> str:
+def _format_latency(result: DemoResult) -> str:
     p50_ms = result.tally.percentile_s(0.5) * 1000
     p95_ms = result.tally.percentile_s(0.95) * 1000
     return f"{p50_ms:.0f} ms / {p95_ms:.0f} ms"
 
 
-def _repeats(result: EveningResult) -> str:
+def _format_repeats(result: DemoResult) -> str:
     tally = result.tally
-    return f"{tally.repeats_elsewhere} ({tally.repeated_answers} got the kept answer)"
+    return f"{tally.repeated_posts} ({tally.stored_responses} got the stored response)"
 
 
-def _join(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine: batching, prefix cache, streams, faults."""
+"""Fake model engine with batching, prefix cache, resumable streams and faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from clementineyoke_standins.runners.kept_stream import GRACE_S, KeptStream
+from clementineyoke_standins.runners.kept_stream import RETENTION_S, RetainedStream
 from clementineyoke_standins.runners.prefix_cache import PrefixCache
 from clementineyoke_standins.runners.standin_runner import StandinRunner
 from clementineyoke_wire import headers
@@ -19,51 +19,53 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterator
 
-CHARACTERS_A_MS = 40.0
-"""Speed of reading a prompt that is not cached."""
+CHARACTERS_PER_MS = 40.0
+"""Prefill speed for the part of a prompt that is not cached."""
 TOKEN_MS = 4.0
-"""Time between tokens of an otherwise idle engine."""
+"""Time per token on an otherwise idle engine."""
 DEFAULT_TOKENS = 8
 CACHE_CHARACTERS = 400_000
 
 
 class ModelEngine(StandinRunner):
-    """Answer chats; a fuller batch makes every token a little slower."""
+    """Responds to chats; tokens take longer the more requests are running."""
 
     def __init__(self, *, runner_id: str, slots: int) -> None:
         super().__init__(runner_id=runner_id)
         self._slots = slots
         self._cache = PrefixCache(capacity_characters=CACHE_CHARACTERS)
         self._running = 0
-        self._streams: dict[str, KeptStream] = {}
+        self._streams: dict[str, RetainedStream] = {}
         self.stats: Counter[str] = Counter()
         self.peak_running = 0
 
     def describe(self) -> dict[str, Any]:
-        """Return counts of chats, tokens and cached prompt characters."""
+        """Return counts of chats, tokens, prompt characters and running requests."""
         running = {"running": self._running, "peak_running": self.peak_running}
         return {**self.stats, **running}
 
     def _add_routes(self, router: web.UrlDispatcher) -> None:
-        router.add_post("/v1/chat/completions", self._chat)
-        router.add_get("/v1/streams/{request_id}", self._resume)
+        router.add_post("/v1/chat/completions", self._handle_chat)
+        router.add_get("/v1/streams/{request_id}", self._handle_resume)
 
-    async def _chat(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_chat(self, request: web.Request) -> web.StreamResponse:
         if self.faults.draining:
             self.stats["turned_away"] += 1
-            sent = {**self._headers(request), headers.DRAINING: "1"}
-            return web.json_response({"error": "leaving"}, status=503, headers=sent)
+            response_headers = {**self._headers(request), headers.DRAINING: "1"}
+            return web.json_response(
+                {"error": "leaving"}, status=503, headers=response_headers
+            )
         body = await request.json()
         self.last_start_s = time.time()
         self.stats["chats"] += 1
         try:
-            return await self._answer(request, body)
+            return await self._respond(request, body)
         except (asyncio.CancelledError, ConnectionError):
             self.stats["cancelled"] += 1
             raise
 
     @contextmanager
-    def _work(self) -> Iterator[None]:
+    def _count_running(self) -> Iterator[None]:
         self._running += 1
         self.peak_running = max(self.peak_running, self._running)
         try:
@@ -71,7 +73,7 @@
         finally:
             self._running -= 1
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, body: dict[str, Any]
     ) -> web.StreamResponse:
         await asyncio.sleep(self.faults.stall_ms / 1000)
@@ -79,19 +81,19 @@
         cached = self._cache.use(str(body.get("user", prompt[:256])), prompt)
         self.stats["prompt_characters"] += len(prompt)
         self.stats["cached_characters"] += cached
-        await asyncio.sleep((len(prompt) - cached) / CHARACTERS_A_MS / 1000)
-        if self._take_fault(request, "break_before"):
+        await asyncio.sleep((len(prompt) - cached) / CHARACTERS_PER_MS / 1000)
+        if self._inject_disconnect(request, "break_before"):
             return web.Response()
         tokens = int(body.get("max_tokens", DEFAULT_TOKENS))
         if body.get("stream"):
             padding = "x" * int(body.get("pad_characters", 0))
-            return await self._stream(request, tokens, padding)
-        return await self._whole(request, tokens, prompt)
+            return await self._respond_streamed(request, tokens, padding)
+        return await self._respond_complete(request, tokens, prompt)
 
-    async def _whole(
+    async def _respond_complete(
         self, request: web.Request, tokens: int, prompt: str
     ) -> web.StreamResponse:
-        with self._work():
+        with self._count_running():
             text = "".join([word async for word in self._generate(request, tokens)])
         body = {
             "object": "chat.completion",
@@ -100,92 +102,105 @@
         }
         return web.json_response(body, headers=self._headers(request))
 
-    async def _stream(
+    async def _respond_streamed(
         self, request: web.Request, tokens: int, padding: str
     ) -> web.StreamResponse:
         request_id = request.headers.get(headers.REQUEST_ID, "")
-        kept = KeptStream()
-        resumable = headers.RESUMABLE in request.headers
-        work = asyncio.create_task(self._fill(request, kept, tokens, padding))
-        if resumable:
-            self._streams[request_id] = kept
-            work.add_done_callback(lambda _: self._forget_later(request_id))
-        cut_at = tokens // 2 if self.faults.break_after else -1
+        stream = RetainedStream()
+        is_resumable = headers.RESUMABLE in request.headers
+        generation = asyncio.create_task(
+            self._produce_stream(request, stream, tokens, padding)
+        )
+        if is_resumable:
+            self._streams[request_id] = stream
+            generation.add_done_callback(lambda _: self._schedule_removal(request_id))
+        abort_at = tokens // 2 if self.faults.break_after else -1
         try:
-            return await self._send(request, kept, after=0, cut_at=cut_at)
+            return await self._send_stream(request, stream, offset=0, abort_at=abort_at)
         finally:
-            if not resumable:
-                work.cancel()
-
-    async def _resume(self, request: web.Request) -> web.StreamResponse:
-        kept = self._streams.get(request.match_info["request_id"])
-        if kept is None:
-            sent = self._headers(request)
-            return web.json_response({"error": "gone"}, status=404, headers=sent)
+            if not is_resumable:
+                generation.cancel()
+
+    async def _handle_resume(self, request: web.Request) -> web.StreamResponse:
+        stream = self._streams.get(request.match_info["request_id"])
+        if stream is None:
+            response_headers = self._headers(request)
+            return web.json_response(
+                {"error": "gone"}, status=404, headers=response_headers
+            )
         self.stats["resumed"] += 1
-        return await self._send(request, kept, after=int(request.query["after"]))
-
-    async def _send(
-        self, request: web.Request, kept: KeptStream, *, after: int, cut_at: int = -1
+        return await self._send_stream(
+            request, stream, offset=int(request.query["after"])
+        )
+
+    async def _send_stream(
+        self,
+        request: web.Request,
+        stream: RetainedStream,
+        *,
+        offset: int,
+        abort_at: int = -1,
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=self._headers(request))
         response.content_type = "text/event-stream"
         response.enable_chunked_encoding()
         await response.prepare(request)
         index = 0
-        with kept.reader():
-            async for chunk in kept.read_from(after):
+        with stream.reader():
+            async for chunk in stream.read_from(offset):
                 await response.write(chunk)
-                if index == cut_at and self._take_fault(request, "break_after"):
+                if index == abort_at and self._inject_disconnect(
+                    request, "break_after"
+                ):
                     return response
                 index += 1
         await response.write_eof()
         return response
 
-    async def _fill(
-        self, request: web.Request, kept: KeptStream, tokens: int, padding: str
+    async def _produce_stream(
+        self, request: web.Request, stream: RetainedStream, tokens: int, padding: str
     ) -> None:
-        with self._work():
+        with self._count_running():
             async for word in self._generate(request, tokens):
                 delta = {"content": word + padding}
                 chunk = json.dumps({"choices": [{"delta": delta}]})
-                await kept.add(f"data: {chunk}\n\n".encode())
-                if kept.left_s and kept.is_abandoned():
+                await stream.add(f"data: {chunk}\n\n".encode())
+                if stream.last_read_s and stream.is_abandoned():
                     self.stats["abandoned"] += 1
                     break
             else:
-                if not self._take_count("no_end_mark"):
-                    await kept.add(b"data: [DONE]\n\n")
-        await kept.end()
+                if not self._consume_fault("no_end_mark"):
+                    await stream.add(b"data: [DONE]\n\n")
+        await stream.end()
 
-    def _forget_later(self, request_id: str) -> None:
+    def _schedule_removal(self, request_id: str) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(GRACE_S, self._streams.pop, request_id, None)
+        loop.call_later(RETENTION_S, self._streams.pop, request_id, None)
 
     async def _generate(self, request: web.Request, tokens: int) -> AsyncIterator[str]:
-        # Each word names the request, so that a reader finds any crossed answer.
-        name = request.headers.get(headers.REQUEST_ID, "?")
+        # Each word contains the request id, so that callers detect mixed-up responses.
+        request_id = request.headers.get(headers.REQUEST_ID, "?")
         for index in range(tokens):
             await asyncio.sleep(TOKEN_MS * (1 + self._running / self._slots) / 1000)
             self.stats["tokens"] += 1
-            yield f"{name}:{index} "
+            yield f"{request_id}:{index} "
 
     def _headers(self, request: web.Request) -> dict[str, str]:
-        echoed = request.headers.get(headers.REQUEST_ID, "")
-        if self._take_count("crossed"):
-            echoed = "someone-else"
-        return {headers.REQUEST_ID: echoed}
+        echoed_id = request.headers.get(headers.REQUEST_ID, "")
+        if self._consume_fault("crossed"):
+            echoed_id = "someone-else"
+        return {headers.REQUEST_ID: echoed_id}
 
-    def _take_fault(self, request: web.Request, name: str) -> bool:
-        if not self._take_count(name):
+    def _inject_disconnect(self, request: web.Request, name: str) -> bool:
+        if not self._consume_fault(name):
             return False
         if request.transport is not None:
             request.transport.abort()
         return True
 
-    def _take_count(self, name: str) -> bool:
-        left = getattr(self.faults, name)
-        if left <= 0:
+    def _consume_fault(self, name: str) -> bool:
+        remaining = getattr(self.faults, name)
+        if remaining <= 0:
             return False
-        setattr(self.faults, name, left - 1)
+        setattr(self.faults, name, remaining - 1)
         return True
