--- a/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
+++ b/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
@@ -31,7 +31,7 @@
     home = context.homes[number]
     while True:
         update = home.next_write(claims, list(reports), wall_ms=wall_ms)
-        version = context.platform.land(update)
+        version = context.platform.apply_write(update)
         if version is None:
             return False
         home.record_written(update, version=version)
@@ -57,7 +57,7 @@
 def claim_lost(context, number, key, holder):
     home = context.homes[number]
     update = home.next_write([make_claim(key, holder)], [], wall_ms=START_MS)
-    assert context.platform.land(update)
+    assert context.platform.apply_write(update)
 
 
 @when('home {number:d} claims "{key}" for holder {holder:w}')
@@ -144,7 +144,7 @@
         key, holder = f"key-{rng.randrange(3)}", f"holder-{index}-{now_ms}"
         if pending[index] is not None:
             update, pending[index] = pending[index], None
-            version = platform.land(update)
+            version = platform.apply_write(update)
             if version is None or rng.random() < 0.2:
                 home.mark_stale()
                 context.steps["refused" if version is None else "lost"] += 1
--- a/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
+++ b/packages/clementineyoke-node/tests/steps/cold_runner_steps.py
@@ -114,7 +114,7 @@
 @then("a cold runner received no more than {max_calls:d} calls in any second")
 def check_max_rate(context, max_calls):
     for runner in context.cold:
-        times = [call.at_s for call in runner.calls]
+        times = [call.received_s for call in runner.calls]
         call_counts = [sum(at <= t < at + 1.0 for t in times) for at in times]
         assert 0 < max(call_counts, default=0) <= max_calls, call_counts
 
--- a/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
+++ b/packages/clementineyoke-node/tests/steps/crashing_request_steps.py
@@ -13,7 +13,7 @@
 from clementineyoke_core.edge.prompt_key import PromptPart, prompt_key
 from clementineyoke_core.edge.request_digest import request_digest
 from clementineyoke_node.platform.names import CRASHES_KIND
-from clementineyoke_standins.edge.edge_runner import Act
+from clementineyoke_standins.edge.edge_runner import ScriptedResponse
 from clementineyoke_standins.edge.edge_store import StoreFault
 
 RESTART_DELAY_S = 0.4
@@ -106,7 +106,7 @@
 @when("a third node starts while the store is unavailable")
 def start_third_node(context):
     async def act():
-        context.fleet.store.fault = StoreFault.BUSY
+        context.fleet.store.fault = StoreFault.UNAVAILABLE
         await context.fleet.start_node(len(context.fleet.nodes))
 
     context.run(act())
@@ -230,7 +230,7 @@
 @when('it is sent {count:d} times as "{kind}" while other callers stream')
 def send_beside_streams(context, count, kind):
     for runner in context.fleet.runners:
-        runner.answers_by_path = {"/streaming/": Act.STREAM}
+        runner.responses_by_prefix = {"/streaming/": ScriptedResponse.STREAM}
         runner.event_pause_s = EVENT_PAUSE_S
 
     async def act():
@@ -291,7 +291,7 @@
 def crash_all(context, times):
     async def act():
         for runner in context.fleet.runners:
-            runner.usual = Act.SLOW
+            runner.fallback_response = ScriptedResponse.SLOW
         for _ in range(times):
             await crash_all_once(context)
 
@@ -337,7 +337,7 @@
 def crash_draining(context, count):
     async def act():
         for runner in context.fleet.runners:
-            runner.usual = Act.SLOW
+            runner.fallback_response = ScriptedResponse.SLOW
             runner.on_crash = lambda _: None
         for draining in context.fleet.runners[:count]:
             await crash_one_draining(context, draining)
@@ -359,7 +359,7 @@
     async def act():
         await asyncio.sleep(RETRY_INTERVAL_S)
         for runner in context.fleet.runners:
-            runner.usual = Act.OK
+            runner.fallback_response = ScriptedResponse.OK
         answers = []
         for number in range(len(context.fleet.nodes)):
             answers.append(
--- a/packages/clementineyoke-node/tests/steps/edge_fleet.py
+++ b/packages/clementineyoke-node/tests/steps/edge_fleet.py
@@ -33,7 +33,7 @@
         hostname=HOSTNAME,
         kind=kind,
         pool=POOL,
-        most_runners=runners,
+        max_runners=runners,
         is_resumable=resumable,
     )
     return {**route, **changes}
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -24,7 +24,7 @@
 from clementineyoke_node.platform.names import SETTINGS_FILE_VARIABLE
 from clementineyoke_node.platform.state_decoder import decode_state
 from clementineyoke_node.platform.store_client import WATCH_SLACK_MS
-from clementineyoke_standins.edge.edge_runner import EVENTS, PROOF, Act
+from clementineyoke_standins.edge.edge_runner import EVENTS, PROOF, ScriptedResponse
 from clementineyoke_standins.edge.edge_store import StoreFault
 
 WHOLE_STREAM = "".join(f"id: {n}\ndata: piece {n}\n\n" for n in range(1, EVENTS + 1))
@@ -42,12 +42,12 @@
 
 @given('the next call is answered as "{act}"')
 def given_next_act(context, act):
-    set_script(context, Act(act))
+    set_script(context, ScriptedResponse(act))
 
 
 @given('the next {count:d} calls are answered as "{act}"')
 def given_next_acts(context, count, act):
-    set_script(context, *[Act(act)] * count)
+    set_script(context, *[ScriptedResponse(act)] * count)
 
 
 def set_script(context, *acts):
@@ -60,26 +60,26 @@
 @given("the runners stream")
 def given_streams(context):
     for runner in context.fleet.runners:
-        runner.usual = Act.STREAM
+        runner.fallback_response = ScriptedResponse.STREAM
 
 
 @given("the runners stream slowly")
 def given_slow_streams(context):
     for runner in context.fleet.runners:
-        runner.usual = Act.STREAM
+        runner.fallback_response = ScriptedResponse.STREAM
         runner.event_pause_s = 0.1
 
 
 @given("the runners silently drop idle connections")
 def given_silent_drops(context):
     for runner in context.fleet.runners:
-        runner.forgets_idle = True
+        runner.resets_idle_connections = True
 
 
 @given("the runners announce that they keep idle connections for {kept_s:d} s")
 def given_announced_idle_time(context, kept_s):
     for runner in context.fleet.runners:
-        runner.idle_kept_s = kept_s
+        runner.keep_alive_timeout_s = kept_s
 
 
 @when('a caller makes {count:d} "{kind}" calls, {pause_s:g} s after one another')
@@ -211,7 +211,7 @@
 @then("the runner received the call's id, its team and the runner's id, but no key")
 def check_received_call(context):
     (call,) = context.fleet.calls()
-    fields = call.fields
+    fields = call.headers
     assert fields[CALL_ID_HEADER.lower()] == "call-1"
     assert fields["x-tenant"] == "team-one"
     assert fields["x-target-instance"].startswith("runner-")
@@ -225,13 +225,13 @@
     (call,) = context.fleet.calls()
     for field in fields.split(", "):
         name, value = field.split(": ")
-        assert call.fields.get(name) == value, call.fields
+        assert call.headers.get(name) == value, call.headers
 
 
 @then('the runner received no "{names}"')
 def check_not_received(context, names):
     (call,) = context.fleet.calls()
-    assert not set(names.split(", ")) & call.fields.keys(), call.fields
+    assert not set(names.split(", ")) & call.headers.keys(), call.headers
 
 
 @then("the caller gets the events 1 to 6, each once and whole")
@@ -242,7 +242,7 @@
 
 @then("the second runner received the id of the last event that the caller has")
 def check_last_event_id(context):
-    last = [call.fields.get("last-event-id") for call in context.fleet.calls()]
+    last = [call.headers.get("last-event-id") for call in context.fleet.calls()]
     assert sorted(last, key=str) == [str(EVENTS // 2 - 1), None], last
 
 
@@ -271,10 +271,10 @@
 def withdraw_key_unwatched(context):
     async def act():
         store = context.fleet.store
-        store.is_deaf = True
+        store.suspends_watches = True
         await context.fleet.put_state(keys=("another",))
-        store.forget_history()
-        store.is_deaf = False
+        store.drop_history()
+        store.suspends_watches = False
 
     context.run(act())
 
@@ -283,7 +283,7 @@
 def start_rejected_node(context):
     async def act():
         # All loopback callers have one address; the first node already has its state.
-        context.fleet.store.turned_away.add("127.0.0.1")
+        context.fleet.store.rejected_addresses.add("127.0.0.1")
         await context.fleet.start_node(1, wait=False)
 
     context.run(act())
@@ -420,7 +420,7 @@
 def remove_entry_while_store_is_away(context):
     async def act():
         fleet = context.fleet
-        fleet.store.fault = StoreFault.BUSY
+        fleet.store.fault = StoreFault.UNAVAILABLE
         watcher = fleet.nodes[0].io.store_watcher
         await wait_until(lambda: "servers" in watcher._unreachable_kinds, 5)
         await fleet.store.remove("servers", "runner-0")
--- a/packages/clementineyoke-node/tests/steps/evacuation_steps.py
+++ b/packages/clementineyoke-node/tests/steps/evacuation_steps.py
@@ -18,7 +18,7 @@
 from clementineyoke_node.edge.fleet_view import FleetView
 from clementineyoke_node.platform.state_decoder import decode_state
 from clementineyoke_node.timers.timer_service import TimerService
-from clementineyoke_standins.edge.edge_runner import Act
+from clementineyoke_standins.edge.edge_runner import ScriptedResponse
 from clementineyoke_standins.edge.edge_store import StoreFault
 
 EVACUATIONS_KIND = "evacuations"
@@ -160,7 +160,7 @@
 
 @when('the store refuses node {number:d} and the operator evacuates "{zone}"')
 def refuse_node(context, number, zone):
-    context.fleet.store.turned_away.add(f"127.0.0.{number + 2}")
+    context.fleet.store.rejected_addresses.add(f"127.0.0.{number + 2}")
     evacuate(context, zone)
 
 
@@ -168,12 +168,12 @@
 def evacuate_without_answers(context, zone):
     async def run():
         store = context.fleet.store
-        store.is_deaf = True
+        store.suspends_watches = True
         await asyncio.sleep(0.1)
         await store.put(EVACUATIONS_KIND, zone, {})
         await asyncio.sleep(1.0)
-        store.forget_history()
-        store.is_deaf = False
+        store.drop_history()
+        store.suspends_watches = False
 
     context.run(run())
 
@@ -287,7 +287,7 @@
         node = context.fleet.nodes[0]
         await wait_until(lambda: node.state.table.evacuated_zones(), 2)
         for runner in context.fleet.runners:
-            runner.usual = Act.CUT
+            runner.fallback_response = ScriptedResponse.CUT
         context.before = len(calls_in(context, "east"))
         for number in range(PROBES):
             await _try_stream(context, number)
--- a/packages/clementineyoke-node/tests/steps/news_steps.py
+++ b/packages/clementineyoke-node/tests/steps/news_steps.py
@@ -177,7 +177,7 @@
     async def act():
         fleet = context.fleet
         watchers = [node.io.store_watcher for node in fleet.nodes]
-        fleet.store.fault = StoreFault.BUSY
+        fleet.store.fault = StoreFault.UNAVAILABLE
         # Entries expire later than a node notices that the store does not answer.
         await wait_until(
             lambda: all("servers" in w._unreachable_kinds for w in watchers), 5
--- a/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
+++ b/packages/clementineyoke-node/tests/steps/runner_signals_steps.py
@@ -10,7 +10,7 @@
 
 from clementineyoke_core.runner_state import RunnerState
 from clementineyoke_node.platform.runner_codec import decode_response_head
-from clementineyoke_standins.edge.edge_runner import Act
+from clementineyoke_standins.edge.edge_runner import ScriptedResponse
 from clementineyoke_standins.edge.edge_store import StoreFault
 
 
@@ -32,7 +32,7 @@
 @given("runner {number:d} refuses all calls with a backoff of {backoff_s:g} s")
 @when("runner {number:d} refuses all calls with a backoff of {backoff_s:g} s")
 def ask_to_back_off(context, number, backoff_s):
-    runner(context, number).usual = Act.REFUSE
+    runner(context, number).fallback_response = ScriptedResponse.REFUSE
     runner(context, number).retry_after_s = backoff_s
 
 
@@ -192,7 +192,7 @@
 
 @when('runner {number:d} answers each call as "{act}"')
 def answer_as(context, number, act):
-    runner(context, number).usual = Act(act)
+    runner(context, number).fallback_response = ScriptedResponse(act)
 
 
 @when(
--- a/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
+++ b/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
@@ -159,7 +159,7 @@
 def commit_before_outage(context, count):
     context.objects.delay_ms = 0.0
     context.run(commit_many(context, count))
-    context.objects.is_away = True
+    context.objects.is_unavailable = True
 
 
 @when("{count:d} more changes are committed")
--- a/packages/clementineyoke-node/tests/steps/shard_task_steps.py
+++ b/packages/clementineyoke-node/tests/steps/shard_task_steps.py
@@ -56,7 +56,7 @@
 @given("a shard task whose platform is unavailable")
 def given_unavailable(context):
     given_task(context)
-    context.objects.is_away = True
+    context.objects.is_unavailable = True
 
 
 @when("holders A and B claim the same key")
@@ -106,7 +106,7 @@
         async with AsyncExitStack() as stack:
             task = await open_task(context, stack)
             context.first = await claim(context, task, "key", "A", timeout_ms=50.0)
-            context.objects.is_away = False
+            context.objects.is_unavailable = False
             context.second = await claim(context, task, "key", "B")
 
     context.run(run())
--- a/packages/clementineyoke-node/tests/steps/store_entries_steps.py
+++ b/packages/clementineyoke-node/tests/steps/store_entries_steps.py
@@ -180,7 +180,7 @@
 
 @given("runner {number:d} resets calls on idle connections")
 def reset_idle_connections(context, number):
-    context.fleet.runners[number].forgets_idle = True
+    context.fleet.runners[number].resets_idle_connections = True
 
 
 @when("runner {number:d} restarts under its id")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/memory_object_api.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/memory_object_api.py
@@ -22,7 +22,7 @@
         self.delay_ms = delay_ms
         self.lost_replies = 0
         """Number of next writes that take effect and then raise ``PlatformError``."""
-        self.is_away = False
+        self.is_unavailable = False
         self.writes = 0
         self.calls = 0
 
@@ -72,5 +72,5 @@
     async def _wait(self) -> None:
         self.calls += 1
         await asyncio.sleep(self.delay_ms / MS_PER_S)
-        if self.is_away:
+        if self.is_unavailable:
             raise PlatformError(step="call", peer="memory", reason="outage")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/overhead_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/overhead_case.py
@@ -14,7 +14,7 @@
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_standins.bench.bench_case import BenchCase
 from clementineyoke_standins.demo.deployment import LEAGUE
-from clementineyoke_standins.demo.evening import operator_client, whole_change
+from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
 from clementineyoke_standins.demo.fleet_processes import FleetProcesses
 from clementineyoke_standins.demo.layout import admin_url, caller_url, runner_url
 from clementineyoke_wire import headers
@@ -47,14 +47,16 @@
     async with FleetProcesses(deployment=LEAGUE, folder=folder) as fleet:
         node = fleet.nodes[0]
         await fleet.start_node(node)
-        await fleet.wait_answering(f"{admin_url(node)}/health")
+        await fleet.wait_until_ok(f"{admin_url(node)}/health")
         edits = read_settings_file(LEAGUE.settings_file)
         unlimited = {"rate_per_s": 100_000, "burst_requests": 100_000}
         for path, values in edits.items():
             if values is not None and path.count("/") == 2:
                 edits[path] = {**values, **unlimited}
-        await operator_client(admin_url(node)).change_settings(whole_change(edits))
-        await fleet.wait_answering(f"{admin_url(node)}/ready")
+        await make_admin_client(admin_url(node)).change_settings(
+            make_settings_change(edits)
+        )
+        await fleet.wait_until_ok(f"{admin_url(node)}/ready")
         return await _compare(fleet, node, bounds, seed)
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
@@ -11,7 +11,7 @@
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_standins.capacity.slope import Slope, fit
 from clementineyoke_standins.demo.deployment import LEAGUE
-from clementineyoke_standins.demo.evening import operator_client, whole_change
+from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
 from clementineyoke_standins.demo.fleet_processes import FleetProcesses
 from clementineyoke_standins.demo.layout import admin_url, caller_url
 from clementineyoke_wire import headers
@@ -47,10 +47,10 @@
     async with FleetProcesses(deployment=LEAGUE, folder=folder) as fleet:
         node = fleet.nodes[0]
         await fleet.start_node(node)
-        await fleet.wait_answering(f"{admin_url(node)}/health")
-        change = whole_change(read_settings_file(LEAGUE.settings_file))
-        await operator_client(admin_url(node)).change_settings(change)
-        await fleet.wait_answering(f"{admin_url(node)}/ready")
+        await fleet.wait_until_ok(f"{admin_url(node)}/health")
+        change = make_settings_change(read_settings_file(LEAGUE.settings_file))
+        await make_admin_client(admin_url(node)).change_settings(change)
+        await fleet.wait_until_ok(f"{admin_url(node)}/ready")
         async with aiohttp.ClientSession() as session:
             cpu_us = await _measure_cpu(fleet, node, session)
             memory_bytes = await _measure_memory(fleet, node, session)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/faults.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/faults.py
@@ -15,9 +15,7 @@
 
 def run(deployment: str = "league", seed: int = 1, pairs: int = ALL_PAIRS) -> None:
     """Inject pairs of faults, all or the first few; exit 1 if the audit fails."""
-    fault_run = FaultRun(
-        deployment=DEPLOYMENTS[deployment], seed=seed, most_pairs=pairs
-    )
+    fault_run = FaultRun(deployment=DEPLOYMENTS[deployment], seed=seed, max_pairs=pairs)
     audit = asyncio.run(fault_run.run())
     for name, value in audit._asdict().items():
         print(f"{name:<18}{value}")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/profile.py
@@ -17,7 +17,7 @@
 from clementineyoke_node.config.edge_config import EdgeConfig
 from clementineyoke_node.edge.edge_service import EdgeService
 from clementineyoke_node.platform import names
-from clementineyoke_standins.edge.edge_runner import Act, EdgeRunner
+from clementineyoke_standins.edge.edge_runner import EdgeRunner, ScriptedResponse
 from clementineyoke_standins.edge.edge_store import EdgeStore
 from clementineyoke_standins.edge.written_specs import (
     route_spec,
@@ -85,7 +85,7 @@
                 hostname=HOSTNAME,
                 kind=path.strip("/"),
                 pool=POOL,
-                most_runners=1,
+                max_runners=1,
                 is_resumable=False,
             )
             for path in (STREAM_PATH, PLAIN_PATH)
@@ -94,7 +94,7 @@
         await store.put(names.STATE_KIND, names.STATE_NAME, state)
         for number in range(RUNNERS):
             runner = EdgeRunner(runner_id=f"runner-{number}")
-            runner.answers_by_path = {STREAM_PATH: Act.STREAM}
+            runner.responses_by_prefix = {STREAM_PATH: ScriptedResponse.STREAM}
             await self._stack.enter_async_context(runner)
             spec = runner_spec(
                 pool=POOL, address=f"{LOCAL}:{runner.port}", zone="zone", state="ready"
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/soak.py
@@ -57,7 +57,7 @@
             for entry in entries
         ]
     reports = [_run_seed(entry, is_timed=timed) for entry in seed_runs]
-    failed = [report for report in reports if report.broken]
+    failed = [report for report in reports if report.violations]
     print(f"{len(reports) - len(failed)} seeds passed, {len(failed)} failed")
     if failed:
         sys.exit(1)
@@ -69,11 +69,11 @@
     report = asyncio.run(soak_run.run())
     print(
         f"seed {report.seed}: {report.calls} calls, {report.served} served,"
-        f" {len(report.faults)} faults, recovered after {report.recovered_s:.1f} s"
+        f" {len(report.faults)} faults, recovered after {report.recovery_s:.1f} s"
     )
-    for line in report.broken:
+    for line in report.violations:
         print(f"  BROKEN {line}")
-    if report.broken:
+    if report.violations:
         print(f"  faults: {', '.join(report.faults)}; logs in {folder}")
     sys.stdout.flush()
     return report
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/caller_tally.py
@@ -10,8 +10,8 @@
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
-        self.crossed = 0
-        self.cut_by_node: Counter[str] = Counter()
+        self.mixed_up_responses = 0
+        self.cut_streams_by_node: Counter[str] = Counter()
         self.latencies_s: list[float] = []
         self.not_run_marks: set[str] = set()
         """Marks of score posts whose last reported outcome was ``not_run``."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/demo_caller.py
@@ -135,7 +135,7 @@
             return False
         if not received.is_complete:
             self._tally.outcomes["chat_cut"] += 1
-            self._tally.cut_by_node[address[0]] += 1
+            self._tally.cut_streams_by_node[address[0]] += 1
             received = await self._resume(chat, address, received, response)
         if not received.is_complete:
             return False
@@ -180,7 +180,7 @@
             json.loads(line[6:])["choices"][0]["delta"]["content"] for line in lines
         ]
         if words != [f"{request_id}:{index} " for index in range(tokens)]:
-            self._tally.crossed += 1
+            self._tally.mixed_up_responses += 1
 
     async def _try_post(self, address: tuple[str, int], team: str, mark: str) -> str:
         service = self._deployment.service
@@ -198,7 +198,7 @@
         if headers.REPEATED_ANSWER in response.headers:
             self._tally.stored_responses += 1
         if response.status == STATUS_OK and body.get("done") != mark:
-            self._tally.crossed += 1
+            self._tally.mixed_up_responses += 1
         return response.headers.get(headers.OUTCOME, "unknown")
 
     async def _choose_address(
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/evening.py
@@ -118,7 +118,7 @@
         await asyncio.sleep(NODE_STOP_AT_S)
         name = fleet.nodes[1]["host"]
         fleet.signal(name, signal.SIGTERM)
-        self._stop_exit_code = await fleet.wait_ended(name)
+        self._stop_exit_code = await fleet.wait_exited(name)
 
     async def _kill_node(self, fleet: FleetProcesses) -> None:
         await asyncio.sleep(NODE_KILL_AT_S)
@@ -127,7 +127,7 @@
     async def _change_settings(self, fleet: FleetProcesses) -> None:
         """Change settings, and start a platform outage as soon as they are accepted."""
         await asyncio.sleep(SETTINGS_CHANGE_AT_S)
-        clients = [operator_client(admin_url(host)) for host in fleet.nodes]
+        clients = [make_admin_client(admin_url(host)) for host in fleet.nodes]
         alive = clients[:1] + clients[3:]
         current = await alive[0].get("/admin/settings")
         edits: dict[str, dict[str, Any] | None] = {
@@ -135,7 +135,7 @@
         }
         started_s = time.monotonic()
         accepted = await alive[0].change_settings(
-            whole_change(edits, based_on=current["version"])
+            make_settings_change(edits, based_on=current["version"])
         )
         async with _platform_outage():
             await _wait_in_force(alive, accepted["version"])
@@ -144,8 +144,8 @@
 
     async def _apply_settings(self, fleet: FleetProcesses) -> None:
         edits = read_settings_file(self._deployment.settings_file)
-        client = operator_client(admin_url(fleet.nodes[0]))
-        await client.change_settings(whole_change(edits, based_on=0))
+        client = make_admin_client(admin_url(fleet.nodes[0]))
+        await client.change_settings(make_settings_change(edits, based_on=0))
 
     async def _collect_result(
         self, fleet: FleetProcesses, seconds: float
@@ -158,7 +158,7 @@
             calls = await response.json()
         alive = fleet.nodes[:1] + fleet.nodes[3:]
         status = {
-            host["host"]: await operator_client(admin_url(host)).get("/admin/status")
+            host["host"]: await make_admin_client(admin_url(host)).get("/admin/status")
             for host in alive
         }
         return DemoResult(
@@ -176,12 +176,12 @@
         )
 
 
-def operator_client(url: str) -> AdminClient:
+def make_admin_client(url: str) -> AdminClient:
     """Return an admin client with the demo's operator key."""
     return AdminClient(url=url, key=OPERATOR_KEY)
 
 
-def whole_change(
+def make_settings_change(
     edits: dict[str, dict[str, Any] | None], *, based_on: int = 0
 ) -> SettingsChangeBody:
     """Return the request body of a settings change that is not a dry run."""
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/fleet_processes.py
@@ -65,7 +65,7 @@
         name = self.deployment.name
         await self._start("platform", standin, "platform")
         await self._start("runners", standin, "runners", f"--deployment={name}")
-        await self.wait_answering(f"{PLATFORM_URL}/control/calls")
+        await self.wait_until_ok(f"{PLATFORM_URL}/control/calls")
         async with aiohttp.ClientSession() as session:
             url = f"{PLATFORM_URL}/control/hosts"
             hosts = self.nodes + self.runners
@@ -93,14 +93,14 @@
         for host in self.nodes:
             await self.start_node(host)
         for host in self.nodes:
-            await self.wait_answering(f"{admin_url(host)}/health")
+            await self.wait_until_ok(f"{admin_url(host)}/health")
 
     async def wait_ready(self) -> None:
         """Wait until every node is ready for callers."""
         for host in self.nodes:
-            await self.wait_answering(f"{admin_url(host)}/ready")
+            await self.wait_until_ok(f"{admin_url(host)}/ready")
 
-    async def wait_answering(self, url: str) -> None:
+    async def wait_until_ok(self, url: str) -> None:
         """Wait until a URL responds with status 200.
 
         Raises ``TimeoutError`` after ``START_TIMEOUT_S``.
@@ -129,7 +129,7 @@
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) * 1024
 
-    async def wait_ended(self, name: str) -> int:
+    async def wait_exited(self, name: str) -> int:
         """Wait for a process to exit and return its exit code.
 
         Raises ``TimeoutError`` after ``STOP_TIMEOUT_S``.
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -30,10 +30,10 @@
     executions = count_executions(result.runner_stats)
     duplicates = sum(1 for count in executions.values() if count > 1)
     false_not_run = sum(1 for mark in tally.not_run_marks if executions.get(mark))
-    cut_at_stop = tally.cut_by_node[result.stopped_address]
+    cut_at_stop = tally.cut_streams_by_node[result.stopped_address]
     unexpected_cuts = sum(
         count
-        for address, count in tally.cut_by_node.items()
+        for address, count in tally.cut_streams_by_node.items()
         if address not in (result.stopped_address, result.killed_address)
     )
     last_start_s = max(0.0, result.last_start_after_leave_s)
@@ -45,7 +45,11 @@
         ReportLine("all outcomes", _format_counts(outcomes), None),
         ReportLine("p50 / p95 of a completed chat", _format_latency(result), None),
         ReportLine("1 highest peak over mean peak", _format_skew(result), None),
-        ReportLine("2 mixed-up responses", str(tally.crossed), tally.crossed == 0),
+        ReportLine(
+            "2 mixed-up responses",
+            str(tally.mixed_up_responses),
+            tally.mixed_up_responses == 0,
+        ),
         ReportLine(
             "2 streams cut, except by the kill",
             str(unexpected_cuts),
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_runner.py
@@ -28,7 +28,7 @@
 """Delay of a late second response, long enough for the first to be relayed."""
 
 
-class Act(Enum):
+class ScriptedResponse(Enum):
     """How the runner responds to one call."""
 
     OK = "ok"
@@ -60,9 +60,9 @@
 
 
 STATUS_LINES = {
-    Act.FAIL: "500 Failed",
-    Act.REFUSE: "503 Busy",
-    Act.BUSY: "503 Busy",
+    ScriptedResponse.FAIL: "500 Failed",
+    ScriptedResponse.REFUSE: "503 Busy",
+    ScriptedResponse.BUSY: "503 Busy",
 }
 
 
@@ -71,9 +71,9 @@
 
     method: str
     target: str
-    fields: dict[str, str]
+    headers: dict[str, str]
     body: bytes
-    at_s: float = 0.0
+    received_s: float = 0.0
     """Monotonic time of receipt."""
     was_executed: bool = True
     """Whether the runner started to execute the call."""
@@ -87,26 +87,30 @@
     @property
     def call_id(self) -> str:
         """The ID of the caller's attempt."""
-        return self.fields.get(names.CALL_ID.lower(), "")
+        return self.headers.get(names.CALL_ID.lower(), "")
 
 
 class EdgeRunner:
     """Listen on a socket and respond to each call with the next item of the script."""
 
     def __init__(
-        self, *, runner_id: str, zone: str = "zone", fallback_response: Act = Act.OK
+        self,
+        *,
+        runner_id: str,
+        zone: str = "zone",
+        fallback_response: ScriptedResponse = ScriptedResponse.OK,
     ) -> None:
         self.runner_id = runner_id
         self.zone = zone
-        self.usual = fallback_response
-        self.script: list[Act] = []
-        self.answers_by_path: dict[str, Act] = {}
+        self.fallback_response = fallback_response
+        self.script: list[ScriptedResponse] = []
+        self.responses_by_prefix: dict[str, ScriptedResponse] = {}
         """Default responses by prefix of the request target."""
         self.calls: list[ReceivedCall] = []
         self.event_pause_s = 0.0
-        self.forgets_idle = False
+        self.resets_idle_connections = False
         """Whether a connection is reset when it is reused after being idle."""
-        self.idle_kept_s: int | None = None
+        self.keep_alive_timeout_s: int | None = None
         """Announced idle timeout; a connection that is reused after it is reset."""
         self.crashing_bodies: set[bytes] = set()
         """Bodies of calls that crash the runner when it starts to execute them."""
@@ -184,8 +188,10 @@
 
     def _resets_idle(self, idle_s: float) -> bool:
         """Return whether a connection is reset after it was idle for so long."""
-        is_expired = self.idle_kept_s is not None and idle_s > self.idle_kept_s
-        return self.forgets_idle or is_expired
+        is_expired = (
+            self.keep_alive_timeout_s is not None and idle_s > self.keep_alive_timeout_s
+        )
+        return self.resets_idle_connections or is_expired
 
     async def _serve_one(
         self,
@@ -195,16 +201,16 @@
     ) -> bool:
         call = await _read_call(reader, first_byte)
         response = self._next_response(call.target)
-        is_refused = response is Act.REFUSE
+        is_refused = response is ScriptedResponse.REFUSE
         seen = call._replace(
-            at_s=time.monotonic(),
+            received_s=time.monotonic(),
             was_executed=not is_refused,
             lifetime=self.crashes,
             signals_draining=self.is_draining,
             retry_after_s=self.retry_after_s if is_refused else 0.0,
         )
         self.calls.append(seen)
-        if self._exceeds_cold_limit(seen.at_s):
+        if self._exceeds_cold_limit(seen.received_s):
             self.crash()
             return False
         if call.body in self.crashing_bodies:
@@ -212,9 +218,9 @@
             self.crash()
             return False
         call_id = call.call_id
-        if response in (Act.STREAM, Act.CUT):
+        if response in (ScriptedResponse.STREAM, ScriptedResponse.CUT):
             return await self._send_stream(
-                writer, call, call_id, is_truncated=response is Act.CUT
+                writer, call, call_id, is_truncated=response is ScriptedResponse.CUT
             )
         return await self._send_response(writer, response, call_id)
 
@@ -223,7 +229,7 @@
         if now_s >= self.cold_until_s or not self.cold_calls_per_s:
             return False
         max_calls = COLD_OVERLOAD_FACTOR * self.cold_calls_per_s + COLD_OVERLOAD_MARGIN
-        recent_calls = sum(call.at_s > now_s - 1.0 for call in self.calls)
+        recent_calls = sum(call.received_s > now_s - 1.0 for call in self.calls)
         if recent_calls <= max_calls:
             return False
         self.overload_crashes += 1
@@ -232,50 +238,50 @@
     def _signal_headers(self) -> dict[str, str]:
         """Return the headers with the runner's own signals, part of every response."""
         fields = {names.DRAINING: names.DRAINING_VALUE} if self.is_draining else {}
-        if self.idle_kept_s is not None:
-            fields["Keep-Alive"] = f"timeout={self.idle_kept_s}"
+        if self.keep_alive_timeout_s is not None:
+            fields["Keep-Alive"] = f"timeout={self.keep_alive_timeout_s}"
         return fields
 
-    def _next_response(self, target: str) -> Act:
+    def _next_response(self, target: str) -> ScriptedResponse:
         if self.is_shedding:
-            return Act.REFUSE
+            return ScriptedResponse.REFUSE
         return self.script.pop(0) if self.script else self._usual_response(target)
 
-    def _usual_response(self, target: str) -> Act:
-        for prefix, response in self.answers_by_path.items():
+    def _usual_response(self, target: str) -> ScriptedResponse:
+        for prefix, response in self.responses_by_prefix.items():
             if target.startswith(prefix):
                 return response
-        return self.usual
+        return self.fallback_response
 
     async def _send_response(
-        self, writer: asyncio.StreamWriter, response: Act, call_id: str
+        self, writer: asyncio.StreamWriter, response: ScriptedResponse, call_id: str
     ) -> bool:
-        if response is Act.HANG:
+        if response is ScriptedResponse.HANG:
             await asyncio.sleep(HANG_S)
-        if response is Act.SLOW:
+        if response is ScriptedResponse.SLOW:
             await asyncio.sleep(SLOW_RESPONSE_DELAY_S)
-        if response is Act.RESET:
+        if response is ScriptedResponse.RESET:
             _reset(writer)
             return False
         body = f"answer to {call_id}".encode()
-        if response is Act.CROSSED:
+        if response is ScriptedResponse.CROSSED:
             call_id = "another-call"
         status = STATUS_LINES.get(response, "200 OK")
         fields = {names.CALL_ID: call_id, **self._signal_headers()}
-        if response is Act.REFUSE:
+        if response is ScriptedResponse.REFUSE:
             fields[names.NOT_EXECUTED] = "1"
             if self.retry_after_s:
                 fields[names.RETRY_AFTER] = f"{self.retry_after_s:g}"
-        elif response is not Act.NO_PROOF:
+        elif response is not ScriptedResponse.NO_PROOF:
             fields[names.SERVER_SIGNATURE] = PROOF
-        if response in (Act.UNFRAMED, Act.UNFRAMED_RESET):
+        if response in (ScriptedResponse.UNFRAMED, ScriptedResponse.UNFRAMED_RESET):
             return await self._send_unframed(writer, response, fields, body)
         message = (
             _encode_head(status, {**fields, "Content-Length": str(len(body))}) + body
         )
         writer.write(message)
         await writer.drain()
-        if response is Act.EXTRA:
+        if response is ScriptedResponse.EXTRA:
             await asyncio.sleep(LATE_RESPONSE_DELAY_S)
             writer.write(message)
         return True
@@ -283,11 +289,11 @@
     async def _send_unframed(
         self,
         writer: asyncio.StreamWriter,
-        response: Act,
+        response: ScriptedResponse,
         fields: dict[str, str],
         body: bytes,
     ) -> bool:
-        if response is Act.UNFRAMED:
+        if response is ScriptedResponse.UNFRAMED:
             writer.write(_encode_head("200 OK", fields) + body)
             await writer.drain()
             return False
@@ -313,7 +319,7 @@
             "Transfer-Encoding": "chunked",
         }
         writer.write(_encode_head("200 OK", fields))
-        first_event = int(call.fields.get(names.LAST_EVENT.lower(), "0")) + 1
+        first_event = int(call.headers.get(names.LAST_EVENT.lower(), "0")) + 1
         for number in range(first_event, EVENTS + 1):
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             if is_truncated and number == EVENTS // 2:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_store.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/edge_store.py
@@ -17,7 +17,7 @@
 class StoreFault(Enum):
     """Faults that affect calls to the store."""
 
-    BUSY = "busy"
+    UNAVAILABLE = "busy"
     """Rejects calls with 503 without executing them."""
     TOO_MANY_REQUESTS = "many"
     """Rejects calls with 429 without executing them."""
@@ -44,9 +44,9 @@
     def __init__(self) -> None:
         self.revision = 0
         self.fault: StoreFault | None = None
-        self.is_deaf = False
+        self.suspends_watches = False
         """Whether watches receive no events, as while history is being lost."""
-        self.turned_away: set[str] = set()
+        self.rejected_addresses: set[str] = set()
         """IP addresses of callers whose calls are rejected with 503."""
         self.calls: list[str] = []
         self._items: dict[str, dict[str, dict[str, Any]]] = {}
@@ -97,7 +97,7 @@
         """Return the sorted names of the objects of a kind."""
         return sorted(self._items.get(kind, {}))
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history, so that watches from older revisions get 410."""
         self._history.clear()
         self._history_start = self.revision
@@ -124,7 +124,7 @@
         )
 
     async def _watch(self, request: web.Request) -> web.Response:
-        if self.is_deaf:
+        if self.suspends_watches:
             await asyncio.sleep(HANG_S)
         kind = request.match_info["kind"]
         since = int(request.query["watch"])
@@ -133,7 +133,7 @@
         wait_s = int(request.query.get("waitMs", "0")) / MS_PER_S
         try:
             async with asyncio.timeout(wait_s), self._changed:
-                while self.is_deaf or not self._changes_since(kind, since):
+                while self.suspends_watches or not self._changes_since(kind, since):
                     await self._changed.wait()
         except TimeoutError:
             pass  # no change within the requested wait
@@ -184,9 +184,9 @@
 
     async def _apply_fault(self, request: web.Request) -> None:
         self.calls.append(f"{request.method} {request.path_qs}")
-        if request.remote in self.turned_away:
+        if request.remote in self.rejected_addresses:
             raise web.HTTPServiceUnavailable
-        if self.fault is StoreFault.BUSY:
+        if self.fault is StoreFault.UNAVAILABLE:
             raise web.HTTPServiceUnavailable
         if self.fault is StoreFault.TOO_MANY_REQUESTS:
             raise web.HTTPTooManyRequests
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/edge/written_specs.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/edge/written_specs.py
@@ -42,7 +42,7 @@
 
 
 def route_spec(
-    *, hostname: str, kind: str, pool: str, most_runners: int, is_resumable: bool
+    *, hostname: str, kind: str, pool: str, max_runners: int, is_resumable: bool
 ) -> dict[str, Any]:
     """Return a route whose name and path prefix are its kind."""
     return {
@@ -54,7 +54,7 @@
         "targetLatencyMs": TARGET_LATENCY_MS,
         "priority": 1,
         "service": pool,
-        "maxAttempts": most_runners,
+        "maxAttempts": max_runners,
         "public": False,
         "sticky": False,
         "resumable": is_resumable,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_standins.demo.evening import operator_client, whole_change
+from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
 from clementineyoke_standins.demo.layout import PLATFORM_URL, admin_url
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
     async def start(self) -> None:
         """Kill the process and wait for its exit."""
         self._fleet.signal(self._host["host"], signal.SIGKILL)
-        await self._fleet.wait_ended(self._host["host"])
+        await self._fleet.wait_exited(self._host["host"])
 
     async def clear(self) -> None:
         """Start a node at the same address."""
@@ -186,9 +186,11 @@
             await asyncio.sleep(CHANGE_INTERVAL_S)
 
     async def _change_once(self, host: HostBody, note: str) -> None:
-        client = operator_client(admin_url(host))
+        client = make_admin_client(admin_url(host))
         seen = await client.get("/admin/settings", path="/raced")
-        body = whole_change({"/raced": {"queue_ms": 100}}, based_on=seen["version"])
+        body = make_settings_change(
+            {"/raced": {"queue_ms": 100}}, based_on=seen["version"]
+        )
         body["note"] = note
         result = await client.change_settings(body)
         self.accepted[result["version"]] = note
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
@@ -12,7 +12,7 @@
 
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_standins.demo.caller_tally import CallerTally
-from clementineyoke_standins.demo.evening import operator_client, whole_change
+from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
 from clementineyoke_standins.demo.fleet_processes import FleetProcesses
 from clementineyoke_standins.demo.layout import admin_url
 from clementineyoke_standins.demo.runner_stats import (
@@ -76,10 +76,10 @@
 class FaultRun:
     """Run a fleet under traffic and inject pairs of faults into it."""
 
-    def __init__(self, *, deployment: Deployment, seed: int, most_pairs: int) -> None:
+    def __init__(self, *, deployment: Deployment, seed: int, max_pairs: int) -> None:
         self._deployment = deployment
         self._rng = Random(seed)
-        self._max_pairs = most_pairs
+        self._max_pairs = max_pairs
         self._folder = Path("build") / "faults"
         self._tally = CallerTally()
         self._late_work = 0
@@ -96,8 +96,10 @@
             node_changes={"claim_timeout_ms": 1_000, "platform_timeout_ms": 1_000},
         ) as fleet:
             await fleet.start_nodes()
-            change = whole_change(read_settings_file(self._deployment.settings_file))
-            await operator_client(admin_url(fleet.nodes[0])).change_settings(change)
+            change = make_settings_change(
+                read_settings_file(self._deployment.settings_file)
+            )
+            await make_admin_client(admin_url(fleet.nodes[0])).change_settings(change)
             await fleet.wait_ready()
             race = OperatorRace(fleet=fleet)
             faults = _make_faults(fleet, race, partition_file)
@@ -175,7 +177,9 @@
         tally = self._tally
         killed = fleet.nodes[KILLED_NODE]["address"]
         cuts = sum(
-            count for address, count in tally.cut_by_node.items() if address != killed
+            count
+            for address, count in tally.cut_streams_by_node.items()
+            if address != killed
         )
         false_not_run = [mark for mark in tally.not_run_marks if executions.get(mark)]
         return FaultAudit(
@@ -185,7 +189,7 @@
             accepted_changes=len(race.accepted),
             doubled=sum(1 for count in executions.values() if count > 1),
             false_not_run=len(false_not_run),
-            crossed=tally.crossed,
+            crossed=tally.mixed_up_responses,
             cut=cuts,
             late_work=self._late_work,
             reverted=monitor.reverts,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/settings_watch.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/settings_watch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_standins.demo.evening import operator_client
+from clementineyoke_standins.demo.evening import make_admin_client
 from clementineyoke_standins.demo.layout import admin_url
 
 if TYPE_CHECKING:
@@ -62,14 +62,14 @@
         return histories
 
     async def _fetch_history(self, host: HostBody) -> list[dict[str, Any]]:
-        client = operator_client(admin_url(host))
+        client = make_admin_client(admin_url(host))
         history: list[dict[str, Any]] = await client.get("/admin/settings/history")
         return history
 
     async def _poll_node(self, host: HostBody) -> None:
         try:
             async with asyncio.timeout(POLL_INTERVAL_S):
-                status = await operator_client(admin_url(host)).get("/admin/status")
+                status = await make_admin_client(admin_url(host)).get("/admin/status")
         except (AdminError, TimeoutError):
             return
         key = (host["host"], status["started"])
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/platform/chain_platform.py
@@ -25,7 +25,7 @@
         self._shard = shard
         self.objects: dict[str, tuple[int, bytes]] = {}
 
-    def land(self, write: ChainWrite) -> int | None:
+    def apply_write(self, write: ChainWrite) -> int | None:
         """Apply a write and return the new version, or None on a version conflict."""
         version, _ = self.objects.get(write.name, (0, b""))
         if version != write.expected_version:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_acts.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/fault_acts.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 
-from clementineyoke_standins.edge.edge_runner import Act
+from clementineyoke_standins.edge.edge_runner import ScriptedResponse
 from clementineyoke_standins.edge.edge_store import StoreFault
 from clementineyoke_standins.soak.audit import APPLY_DEADLINE_S
 from clementineyoke_standins.soak.caller import Caller
@@ -29,18 +29,18 @@
     from clementineyoke_standins.soak.soak_fleet import SoakFleet
 
 FAULTY_RESPONSES = (
-    Act.RESET,
-    Act.FAIL,
-    Act.CROSSED,
-    Act.EXTRA,
-    Act.NO_PROOF,
-    Act.UNFRAMED_RESET,
-    Act.REFUSE,
-    Act.BUSY,
+    ScriptedResponse.RESET,
+    ScriptedResponse.FAIL,
+    ScriptedResponse.CROSSED,
+    ScriptedResponse.EXTRA,
+    ScriptedResponse.NO_PROOF,
+    ScriptedResponse.UNFRAMED_RESET,
+    ScriptedResponse.REFUSE,
+    ScriptedResponse.BUSY,
 )
 FAULTY_RESPONSE_COUNT = 6
 STORE_FAULTS = (
-    StoreFault.BUSY,
+    StoreFault.UNAVAILABLE,
     StoreFault.TOO_MANY_REQUESTS,
     StoreFault.RESET,
     StoreFault.SILENT,
@@ -166,10 +166,10 @@
         self._fleet.store.fault = None
 
     async def _drop_store_history(self, fault: PlannedFault) -> None:
-        self._fleet.store.is_deaf = True
+        self._fleet.store.suspends_watches = True
         await asyncio.sleep(min(1.0, fault.duration_s))
-        self._fleet.store.is_deaf = False
-        self._fleet.store.forget_history()
+        self._fleet.store.suspends_watches = False
+        self._fleet.store.drop_history()
 
     async def _inject_faulty_responses(self, fault: PlannedFault) -> None:
         runner = self._fleet.runners[fault.selector % len(self._fleet.runners)]
@@ -257,7 +257,7 @@
         store = self._fleet.store
         available_since_s = time.monotonic()
         while time.monotonic() < available_since_s + APPLY_DEADLINE_S:
-            if store.fault is not None or store.is_deaf:
+            if store.fault is not None or store.suspends_watches:
                 available_since_s = time.monotonic()
             await asyncio.sleep(STORE_POLL_INTERVAL_S)
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/operator_state.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/operator_state.py
@@ -155,6 +155,6 @@
         hostname=HOSTNAME,
         kind=kind.value,
         pool=POOL,
-        most_runners=1 if kind is RouteKind.NON_IDEMPOTENT else 2,
+        max_runners=1 if kind is RouteKind.NON_IDEMPOTENT else 2,
         is_resumable=kind is RouteKind.STREAM,
     )
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/soak/soak_run.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from clementineyoke_node.timers.background_tasks import BackgroundTasks
-from clementineyoke_standins.edge.edge_runner import Act
+from clementineyoke_standins.edge.edge_runner import ScriptedResponse
 from clementineyoke_standins.soak.audit import (
     APPLY_DEADLINE_S,
     CRASH_CHECK_STEP,
@@ -69,8 +69,8 @@
     calls: int
     served: int
     faults: list[str]
-    recovered_s: float
-    broken: list[str]
+    recovery_s: float
+    violations: list[str]
 
 
 class SoakRun:
@@ -122,7 +122,7 @@
         async with self._fleet, aiohttp.ClientSession() as session:
             await self._wait_until_serving(session, START_TIMEOUT_S)
             for runner in self._fleet.runners:
-                runner.answers_by_path = {"/streaming/": Act.STREAM}
+                runner.responses_by_prefix = {"/streaming/": ScriptedResponse.STREAM}
             run_start_s = time.monotonic()
             async with BackgroundTasks() as tasks:
                 for caller in self._callers:
@@ -252,7 +252,7 @@
             RunnerObservation(
                 runner.runner_id,
                 call.call_id,
-                call.at_s,
+                call.received_s,
                 call.was_executed,
                 runner.zone,
                 call.lifetime,
@@ -286,8 +286,8 @@
             calls=len(calls),
             served=sum(record.status == STATUS_OK for record in calls),
             faults=[fault.kind.value for fault in planned],
-            recovered_s=recovery_s,
-            broken=self._violations,
+            recovery_s=recovery_s,
+            violations=self._violations,
         )
 
     def _spans_without(
--- a/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/claims_replay_steps.py
@@ -61,13 +61,13 @@
 
     def _record_written(self, home):
         write, self.writes[int(home)] = self.writes[int(home)], None
-        version = self.platform.land(write)
+        version = self.platform.apply_write(write)
         assert version, "the platform refused a write that the specification applies"
         self.homes[int(home)].record_written(write, version=version)
 
     def _mark_stale(self, home):
         write, self.writes[int(home)] = self.writes[int(home)], None
-        version = self.platform.land(write)
+        version = self.platform.apply_write(write)
         assert version is None, (
             "the platform applied a write that the specification refuses"
         )
@@ -83,7 +83,7 @@
 
     def _apply_late_write(self, home):
         write, self.late_writes[int(home)] = self.late_writes[int(home)], None
-        assert self.platform.land(write)
+        assert self.platform.apply_write(write)
 
     def record(self):
         stored = self.platform.read().segments[0]
