--- a/packages/clementineyoke-cli/src/clementineyoke_cli/console/commands.py
+++ b/packages/clementineyoke-cli/src/clementineyoke_cli/console/commands.py
@@ -8,7 +8,7 @@
 
 from clementineyoke_cli.admin_client import AdminClient
 from clementineyoke_cli.console.printing import print_result
-from clementineyoke_cli.log_story import read_request_timeline
+from clementineyoke_cli.request_timeline import read_request_timeline
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_wire.bodies import SettingsChangeBody
 
--- a/packages/clementineyoke-cli/tests/steps/commands_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/commands_steps.py
@@ -16,7 +16,7 @@
 from clementineyoke_node.settings.settings_writer import SettingsWriter
 from clementineyoke_node.timers.timer_service import TimerService
 from clementineyoke_standins.bench.memory_object_api import MemoryObjectApi
-from clementineyoke_wire.seal import Seal
+from clementineyoke_wire.message_signer import MessageSigner
 
 KEY = "operator-key"
 ROOT = Path(__file__).parents[4]
@@ -48,7 +48,7 @@
     )
     api = AdminApi(
         key_hashes=[hash_key(KEY)],
-        seal=Seal(keys=["peer"]),
+        signer=MessageSigner(keys=["peer"]),
         settings=settings,
         writer=SettingsWriter(objects=objects, settings=settings, author_node="node"),
         decisions=DecisionRing(),
--- a/packages/clementineyoke-cli/tests/steps/explain_logs_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/explain_logs_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_cli.log_story import read_request_timeline
+from clementineyoke_cli.request_timeline import read_request_timeline
 
 
 def make_line(second, message, **fields):
--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -27,7 +27,7 @@
     from clementineyoke_node.settings.settings_replica import SettingsReplica
     from clementineyoke_node.settings.settings_writer import SettingsWriter
     from clementineyoke_node.timers.timer_service import TimerService
-    from clementineyoke_wire.seal import Seal
+    from clementineyoke_wire.message_signer import MessageSigner
 
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -45,7 +45,7 @@
         self,
         *,
         key_hashes: list[str],
-        seal: Seal,
+        signer: MessageSigner,
         settings: SettingsReplica,
         writer: SettingsWriter,
         decisions: DecisionRing,
@@ -56,7 +56,7 @@
         begin_drain: Callable[[], None],
     ) -> None:
         self._key_hashes = key_hashes
-        self._seal = seal
+        self._signer = signer
         self._settings = settings
         self._writer = writer
         self._decisions = decisions
@@ -113,7 +113,7 @@
             return _error_response(
                 410, "find_changes", "these changes are no longer kept"
             )
-        encoded = encode_changes(changes[:MAX_CHANGES], seal=self._seal)
+        encoded = encode_changes(changes[:MAX_CHANGES], signer=self._signer)
         return web.Response(body=encoded)
 
     async def _peer_snapshot(self, request: web.Request) -> web.StreamResponse:
@@ -122,7 +122,7 @@
             return _error_response(
                 410, "find_snapshot", "no settings are in force here yet"
             )
-        return web.Response(body=encode_snapshot(log.snapshot(), seal=self._seal))
+        return web.Response(body=encode_snapshot(log.snapshot(), signer=self._signer))
 
     async def _get_status(self, request: web.Request) -> web.StreamResponse:
         return web.json_response(self._status())
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/chat_handler.py
@@ -11,9 +11,9 @@
 from clementineyoke_core.placement_token import ChatScope
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_core.resume_token import StreamLocation
-from clementineyoke_node.callers.answer_relay import relay_response
 from clementineyoke_node.callers.body_reader import read_body
 from clementineyoke_node.callers.dispatcher import RoutedCall
+from clementineyoke_node.callers.response_relay import relay_response
 from clementineyoke_wire import headers
 
 if TYPE_CHECKING:
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
@@ -9,7 +9,7 @@
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_core.retry_budget import RetryBudget
-from clementineyoke_node.callers.answer_relay import is_framed
+from clementineyoke_node.callers.response_relay import is_framed
 from clementineyoke_node.runners.runner_client import RunnerCall
 from clementineyoke_node.runners.runner_error import RunnerError
 from clementineyoke_node.slots.slot_request import SlotRequest
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/gate.py
@@ -7,8 +7,8 @@
 
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.error_answers import to_response
-from clementineyoke_node.callers.truncated_answer_error import TruncatedAnswerError
+from clementineyoke_node.callers.error_responses import to_response
+from clementineyoke_node.callers.truncated_response_error import TruncatedResponseError
 from clementineyoke_wire.events import Event
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
                 reason=error.reason,
             )
             return error.outcome.value, to_response(error, request_id=request_id)
-        except TruncatedAnswerError as error:
+        except TruncatedResponseError as error:
             self._abort(request, request_id, error)
             # The status was sent already; only an aborted connection shows the fault.
             raise ConnectionAbortedError(str(error)) from error
@@ -118,7 +118,7 @@
         return caller
 
     def _abort(
-        self, request: web.Request, request_id: str, error: TruncatedAnswerError
+        self, request: web.Request, request_id: str, error: TruncatedResponseError
     ) -> None:
         self._decisions.record(
             Event.ANSWER_CUT,
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/answer_relay.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/response_relay.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from clementineyoke_core.outcome import Outcome
-from clementineyoke_node.callers.truncated_answer_error import TruncatedAnswerError
+from clementineyoke_node.callers.truncated_response_error import TruncatedResponseError
 from clementineyoke_wire import headers
 
 if TYPE_CHECKING:
@@ -51,11 +51,11 @@
             await response.write(chunk)
             tail = (tail + chunk)[-TAIL_BYTES:]
     except (aiohttp.ClientError, TimeoutError) as error:
-        raise TruncatedAnswerError(
+        raise TruncatedResponseError(
             step="relay", peer=runner.runner_id, reason=repr(error)
         ) from error
     if runner_response.content_type == EVENT_STREAM and STREAM_END_MARK not in tail:
-        raise TruncatedAnswerError(
+        raise TruncatedResponseError(
             step="relay",
             peer=runner.runner_id,
             reason="the stream has no end mark",
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/resume_handler.py
@@ -6,7 +6,7 @@
 
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.answer_relay import relay_response
+from clementineyoke_node.callers.response_relay import relay_response
 from clementineyoke_node.runners.runner_client import RunnerCall
 from clementineyoke_node.runners.runner_error import RunnerError
 from clementineyoke_wire import headers
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/service_handler.py
@@ -13,9 +13,9 @@
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.outcome import Outcome
 from clementineyoke_core.request_error import RequestError
-from clementineyoke_node.callers.answer_relay import relay_response
 from clementineyoke_node.callers.body_reader import read_body
 from clementineyoke_node.callers.dispatcher import RoutedCall
+from clementineyoke_node.callers.response_relay import relay_response
 from clementineyoke_wire import headers
 
 if TYPE_CHECKING:
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/truncated_answer_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/truncated_response_error.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class TruncatedAnswerError(Exception):
+class TruncatedResponseError(Exception):
     """A runner's response was truncated; carries step, runner and reason."""
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_api.py
@@ -12,7 +12,7 @@
 from clementineyoke_core.request_error import RequestError
 from clementineyoke_node.platform.call_decoder import decode_call
 from clementineyoke_node.platform.format_error import FormatError
-from clementineyoke_node.platform.node_answers import encode_error, error_headers
+from clementineyoke_node.platform.node_responses import encode_error, error_headers
 from clementineyoke_wire.events import Event
 
 if TYPE_CHECKING:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from clementineyoke_core.edge.entry_nodes import choose_entry_nodes
-from clementineyoke_node.platform.node_answers import JSON_HEADERS, encode_addresses
+from clementineyoke_node.platform.node_responses import JSON_HEADERS, encode_addresses
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -90,7 +90,7 @@
         )
         self.runner_health = RunnerHealth(table=state.table)
         self.socket = PeerSocket(
-            seal=state.seal,
+            signer=state.signer,
             address=PeerAddress(config.address, config.peer_port),
             incarnation=state.membership.incarnation,
             rng=state.rng,
@@ -230,7 +230,7 @@
     def _make_fleet(self) -> None:
         state = self._state
         self.peers = PeerStateExchange(
-            view=self.view, crash_tracker=self.crash_tracker, seal=state.seal
+            view=self.view, crash_tracker=self.crash_tracker, signer=state.signer
         )
         self.introducer = Introducer(
             socket=self.socket,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from clementineyoke_node.edge.crash_tracker import CrashTracker
     from clementineyoke_node.edge.fleet_view import FleetView
-    from clementineyoke_wire.seal import Seal
+    from clementineyoke_wire.message_signer import MessageSigner
 
 STATE_PATH = "/peers/state"
 FETCH_TIMEOUT_S = 1.0
@@ -62,11 +62,11 @@
     """
 
     def __init__(
-        self, *, view: FleetView, crash_tracker: CrashTracker, seal: Seal
+        self, *, view: FleetView, crash_tracker: CrashTracker, signer: MessageSigner
     ) -> None:
         self._view = view
         self._crash_tracker = crash_tracker
-        self._seal = seal
+        self._signer = signer
         self._tasks = BackgroundTasks()
         self._session: aiohttp.ClientSession | None = None
         self._pending: set[str] = set()
@@ -127,7 +127,7 @@
             evacuations.version,
         )
         compressed = zlib.compress(msgspec.msgpack.encode(newer), COMPRESSION_LEVEL)
-        return web.Response(body=self._seal.sign(compressed))
+        return web.Response(body=self._signer.sign(compressed))
 
     async def _fetch(self, address: str, *, is_zone_notified: bool) -> None:
         try:
@@ -176,7 +176,7 @@
             ),
         ) as response:
             response.raise_for_status()
-            compressed = self._seal.verify(await response.read(), peer=address)
+            compressed = self._signer.verify(await response.read(), peer=address)
         return msgspec.msgpack.decode(_decompress(compressed, address), type=PeerState)
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -48,7 +48,7 @@
         self.tasks = BackgroundTasks()
         self.timers = TimerService()
         self.socket = socket_type(
-            seal=state.seal,
+            signer=state.signer,
             address=PeerAddress(config.address, config.peer_port),
             incarnation=state.membership.incarnation,
             rng=state.rng,
@@ -62,7 +62,7 @@
         )
         self.settings = SettingsReplica(
             objects=self.platform,
-            peers=HttpPeerSettings(seal=state.seal),
+            peers=HttpPeerSettings(signer=state.signer),
             has_watch_duty=state.is_watcher,
             has_snapshot_duty=state.is_snapshot_writer,
         )
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_service.py
@@ -95,7 +95,7 @@
         )
         admin = AdminApi(
             key_hashes=self.config.admin_key_hashes,
-            seal=state.seal,
+            signer=state.signer,
             settings=io.settings,
             writer=writer,
             decisions=state.decisions,
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -19,7 +19,7 @@
 from clementineyoke_node.callers.in_flight import InFlight
 from clementineyoke_node.metrics import Metrics
 from clementineyoke_node.timers.timer_service import TimerService
-from clementineyoke_wire.seal import Seal
+from clementineyoke_wire.message_signer import MessageSigner
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -70,7 +70,7 @@
         self.mean_load = MeanLoadEstimator()
         self.call_rate = CallRate()
         self.ledger = SlotLedger()
-        self.seal = Seal(keys=config.peer_keys)
+        self.signer = MessageSigner(keys=config.peer_keys)
         self.decisions = DecisionRing()
         self.metrics = Metrics()
         self.in_flight = InFlight(max_requests=config.max_requests)
--- a/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
@@ -15,13 +15,13 @@
     from random import Random
 
     from clementineyoke_core.node import Node
+    from clementineyoke_wire.message_signer import MessageSigner
     from clementineyoke_wire.messages import (
         ClaimRequest,
         Message,
         ShareAsk,
         SlotAsk,
     )
-    from clementineyoke_wire.seal import Seal
 
     Request = SlotAsk | ClaimRequest | ShareAsk
 
@@ -60,9 +60,14 @@
     """Sends messages and passes received ones to handlers or to pending requests."""
 
     def __init__(
-        self, *, seal: Seal, address: PeerAddress, incarnation: int, rng: Random
+        self,
+        *,
+        signer: MessageSigner,
+        address: PeerAddress,
+        incarnation: int,
+        rng: Random,
     ) -> None:
-        self._seal = seal
+        self._signer = signer
         self._address = address
         self._incarnation = incarnation
         self._transport: asyncio.DatagramTransport | None = None
@@ -119,7 +124,7 @@
         """Send a message to several peers, encoded once, without delivery guarantee."""
         if self._transport is None or self._transport.is_closing():
             return
-        datagram = self._seal.sign(encode(message, incarnation=self._incarnation))
+        datagram = self._signer.sign(encode(message, incarnation=self._incarnation))
         size_bytes = len(datagram) + DATAGRAM_OVERHEAD_BYTES
         for peer in peers:
             self.sent_bytes[message_kind(message)] += size_bytes
@@ -155,7 +160,7 @@
         peer = PeerAddress(addr[0], addr[1])
         self.received_bytes += len(data) + DATAGRAM_OVERHEAD_BYTES
         try:
-            received = decode(self._seal.verify(data, peer=str(peer)))
+            received = decode(self._signer.verify(data, peer=str(peer)))
         except WireError as error:
             log_event(Event.DATAGRAM_REFUSED, peer=str(peer), step=error.step)
             return
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/peer_settings.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from clementineyoke_core.node import Node
-    from clementineyoke_wire.seal import Seal
+    from clementineyoke_wire.message_signer import MessageSigner
 
 FETCH_TIMEOUT_S = 5.0
 CHANGES_PATH = "/peer/settings/changes"
@@ -35,24 +35,24 @@
         ...
 
 
-def encode_changes(changes: list[SettingsChange], *, seal: Seal) -> bytes:
+def encode_changes(changes: list[SettingsChange], *, signer: MessageSigner) -> bytes:
     """Return the signed response to a peer's request for changes."""
-    return seal.sign(msgspec.json.encode(changes))
+    return signer.sign(msgspec.json.encode(changes))
 
 
-def encode_snapshot(snapshot: SettingsSnapshot, *, seal: Seal) -> bytes:
+def encode_snapshot(snapshot: SettingsSnapshot, *, signer: MessageSigner) -> bytes:
     """Return the signed response to a peer's request for the full settings."""
-    return seal.sign(msgspec.msgpack.encode(snapshot))
+    return signer.sign(msgspec.msgpack.encode(snapshot))
 
 
 class HttpPeerSettings:
     """Fetches settings from a peer's operator port.
 
-    Responses are signed with the same seal as datagrams.
+    Responses are signed with the same keys as datagrams.
     """
 
-    def __init__(self, *, seal: Seal) -> None:
-        self._seal = seal
+    def __init__(self, *, signer: MessageSigner) -> None:
+        self._signer = signer
 
     async def fetch(self, node: Node, *, after: int) -> list[SettingsChange] | None:
         """Return the peer's changes after a version, or None if it no longer has them.
@@ -84,7 +84,7 @@
                     return None
                 if response.status != STATUS_OK:
                     raise _failure(node, f"status {response.status}")
-                return self._seal.verify(body, peer=node.node_id)
+                return self._signer.verify(body, peer=node.node_id)
         except (aiohttp.ClientError, TimeoutError, WireError) as error:
             raise _failure(node, repr(error)) from error
 
--- a/packages/clementineyoke-node/tests/steps/slot_home_steps.py
+++ b/packages/clementineyoke-node/tests/steps/slot_home_steps.py
@@ -13,8 +13,8 @@
 from clementineyoke_core.slot_ledger import SlotHolder, SlotLedger
 from clementineyoke_node.peers.peer_socket import PeerAddress, PeerMessage, PeerSocket
 from clementineyoke_node.slots.slot_home import SlotHome
+from clementineyoke_wire.message_signer import MessageSigner
 from clementineyoke_wire.messages import RunnerFault, SlotAsk, SlotRelease, SlotReply
-from clementineyoke_wire.seal import Seal
 
 RUNNER = Runner("engine-1", "127.0.0.1", 1, "zone", "region", RunnerKind.ENGINE, "m", 1)
 PEER = PeerAddress("127.0.0.9", 9)
@@ -86,7 +86,10 @@
 
 def make_socket(incarnation, seed):
     return PeerSocket(
-        seal=Seal(keys=["key"]), address=PEER, incarnation=incarnation, rng=Random(seed)
+        signer=MessageSigner(keys=["key"]),
+        address=PEER,
+        incarnation=incarnation,
+        rng=Random(seed),
     )
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
@@ -18,6 +18,7 @@
 from clementineyoke_node.peers.peer_socket import DATAGRAM_OVERHEAD_BYTES
 from clementineyoke_standins.bench.policies.policy import Choice
 from clementineyoke_wire.codec import encode
+from clementineyoke_wire.message_signer import TAG_BYTES
 from clementineyoke_wire.messages import (
     Gossip,
     Message,
@@ -27,7 +28,6 @@
     SlotRenewal,
     SlotReply,
 )
-from clementineyoke_wire.seal import TAG_BYTES
 
 if TYPE_CHECKING:
     from random import Random
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/stream_slopes.py
@@ -10,8 +10,11 @@
 
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_standins.capacity.slope import Slope, fit
+from clementineyoke_standins.demo.demo_scenario import (
+    make_admin_client,
+    make_settings_change,
+)
 from clementineyoke_standins.demo.deployment import LEAGUE
-from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
 from clementineyoke_standins.demo.fleet_processes import FleetProcesses
 from clementineyoke_standins.demo.layout import admin_url, caller_url
 from clementineyoke_wire import headers
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/capacity/work_slopes.py
@@ -22,6 +22,7 @@
     make_crashes,
 )
 from clementineyoke_wire.codec import decode, encode
+from clementineyoke_wire.message_signer import MessageSigner
 from clementineyoke_wire.messages import (
     CrashReport,
     Gossip,
@@ -29,7 +30,6 @@
     PoolLoad,
     SlotAsk,
 )
-from clementineyoke_wire.seal import Seal
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -71,24 +71,24 @@
     return time.process_time() - started_s
 
 
-def _round_trip(seal: Seal, message: Message) -> None:
-    datagram = seal.sign(encode(message, incarnation=1_790_000_000))
-    decode(seal.verify(datagram, peer="peer"))
+def _round_trip(signer: MessageSigner, message: Message) -> None:
+    datagram = signer.sign(encode(message, incarnation=1_790_000_000))
+    decode(signer.verify(datagram, peer="peer"))
 
 
 def _run_slot_messages(count: int) -> float:
-    seal = Seal(keys=["key"])
+    signer = MessageSigner(keys=["key"])
     runner = hash_text("engine-1")
 
     def operation() -> None:
         for number in range(count):
-            _round_trip(seal, SlotAsk(number, runner, 0.0))
+            _round_trip(signer, SlotAsk(number, runner, 0.0))
 
     return _measure_cpu_s(operation)
 
 
 def _run_gossip(count: int) -> float:
-    seal = Seal(keys=["key"])
+    signer = MessageSigner(keys=["key"])
     estimators = [MeanLoadEstimator(), MeanLoadEstimator()]
     for estimator in estimators:
         for pool in range(POOLS):
@@ -98,23 +98,23 @@
     def operation() -> None:
         for number in range(count):
             pushed = estimators[0].begin_round()
-            _round_trip(seal, Gossip(number, False, 1, loads, []))
+            _round_trip(signer, Gossip(number, False, 1, loads, []))
             replied = estimators[1].merge(pushed)
-            _round_trip(seal, Gossip(number, True, 1, loads, []))
+            _round_trip(signer, Gossip(number, True, 1, loads, []))
             estimators[0].finish_round(pushed=pushed, replied=replied)
 
     return _measure_cpu_s(operation)
 
 
 def _run_reports(count: int) -> float:
-    seal = Seal(keys=["key"])
+    signer = MessageSigner(keys=["key"])
     records = CrashRecords()
 
     def operation() -> None:
         for number in range(count):
             digest = number.to_bytes(DIGEST_BYTES, "big")
             runner = f"i-{number:010x}"
-            _round_trip(seal, CrashReport(digest, runner, 900, 25))
+            _round_trip(signer, CrashReport(digest, runner, 900, 25))
             records.record_crash(digest, lifetime=runner, sent_ms=0.0, crashed_ms=900.0)
 
     return _measure_cpu_s(operation)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/demo.py
@@ -7,8 +7,8 @@
 
 import fire
 
+from clementineyoke_standins.demo.demo_scenario import DemoScenario
 from clementineyoke_standins.demo.deployment import DEPLOYMENTS
-from clementineyoke_standins.demo.evening import DemoScenario
 from clementineyoke_standins.demo.report import make_lines, render
 
 
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/console/experiment.py
@@ -9,7 +9,7 @@
 
 import fire
 
-from clementineyoke_standins.experiment.day_player import (
+from clementineyoke_standins.experiment.benchmark_launcher import (
     ArmRun,
     BenchmarkLauncher,
     Case,
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/demo/report.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from clementineyoke_standins.demo.evening import MAX_LEAVE_S
+from clementineyoke_standins.demo.demo_scenario import MAX_LEAVE_S
 from clementineyoke_standins.demo.runner_stats import count_executions
 
 if TYPE_CHECKING:
-    from clementineyoke_standins.demo.evening import DemoResult
+    from clementineyoke_standins.demo.demo_scenario import DemoResult
 
 MAX_SETTINGS_S = 7.0
 MAX_CONTROL_BYTES_PER_S = 5_000.0
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_kinds.py
@@ -10,7 +10,10 @@
 import aiohttp
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
+from clementineyoke_standins.demo.demo_scenario import (
+    make_admin_client,
+    make_settings_change,
+)
 from clementineyoke_standins.demo.layout import PLATFORM_URL, admin_url
 
 if TYPE_CHECKING:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/fault_run.py
@@ -12,7 +12,10 @@
 
 from clementineyoke_cli.settings_file import read_settings_file
 from clementineyoke_standins.demo.caller_tally import CallerTally
-from clementineyoke_standins.demo.evening import make_admin_client, make_settings_change
+from clementineyoke_standins.demo.demo_scenario import (
+    make_admin_client,
+    make_settings_change,
+)
 from clementineyoke_standins.demo.fleet_processes import FleetProcesses
 from clementineyoke_standins.demo.layout import admin_url
 from clementineyoke_standins.demo.runner_stats import (
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/faults/settings_watch.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/faults/settings_watch.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from clementineyoke_cli.admin_error import AdminError
-from clementineyoke_standins.demo.evening import make_admin_client
+from clementineyoke_standins.demo.demo_scenario import make_admin_client
 from clementineyoke_standins.demo.layout import admin_url
 
 if TYPE_CHECKING:
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/runners/model_engine.py
@@ -11,8 +11,8 @@
 
 from aiohttp import web
 
-from clementineyoke_standins.runners.kept_stream import RETENTION_S, RetainedStream
 from clementineyoke_standins.runners.prefix_cache import PrefixCache
+from clementineyoke_standins.runners.retained_stream import RETENTION_S, RetainedStream
 from clementineyoke_standins.runners.standin_runner import StandinRunner
 from clementineyoke_wire import headers
 
--- a/packages/clementineyoke-standins/tests/steps/experiment_steps.py
+++ b/packages/clementineyoke-standins/tests/steps/experiment_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from clementineyoke_standins.experiment.day_player import (
+from clementineyoke_standins.experiment.benchmark_launcher import (
     ArmRun,
     BenchmarkLauncher,
     Case,
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/seal.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/message_signer.py
@@ -12,7 +12,7 @@
 would add to the size of each datagram."""
 
 
-class Seal:
+class MessageSigner:
     """Sign messages with the first key and accept any key.
 
     Keys can therefore be rotated without interruption.
--- a/packages/clementineyoke-wire/tests/steps/codec_steps.py
+++ b/packages/clementineyoke-wire/tests/steps/codec_steps.py
@@ -10,6 +10,7 @@
 )
 
 from clementineyoke_wire.codec import decode, encode
+from clementineyoke_wire.message_signer import MessageSigner
 from clementineyoke_wire.messages import (
     CrashNote,
     Message,
@@ -19,7 +20,6 @@
     RunnerNote,
     SlotAsk,
 )
-from clementineyoke_wire.seal import Seal
 from clementineyoke_wire.wire_error import WireError
 
 FIELD_BITS = {
@@ -142,18 +142,18 @@
 @given('a message signed with the key "{key}"')
 def given_signed(context, key):
     context.payload = encode(SlotAsk(1, 2, 0.0), incarnation=1)
-    context.datagram = Seal(keys=[key]).sign(context.payload)
+    context.datagram = MessageSigner(keys=[key]).sign(context.payload)
 
 
 @then('a node with the keys "{keys}" accepts it')
 def check_accepted(context, keys):
-    seal = Seal(keys=keys.split(", "))
-    assert seal.verify(context.datagram, peer="peer") == context.payload
+    signer = MessageSigner(keys=keys.split(", "))
+    assert signer.verify(context.datagram, peer="peer") == context.payload
 
 
 def is_refused(keys, datagram):
     try:
-        Seal(keys=keys.split(", ")).verify(datagram, peer="peer")
+        MessageSigner(keys=keys.split(", ")).verify(datagram, peer="peer")
     except WireError as error:
         return error.peer == "peer"
     return False
