--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Every target sets up what it needs on a new machine: a virtual environment and the
-# locked packages.
+# Every target except clean works in a new checkout: it first creates the virtual
+# environment and installs the locked packages.
 PYTHON ?= python3
 VENV ?= .venv
 BIN := $(VENV)/bin
@@ -53,6 +53,6 @@
 mutations: setup
 	$(BIN)/python tools/mutations.py
 
-# make experiment ARGS="--bench=BENCH --arms=old=DIR,new=DIR --sites=SITE --days=DAY --why=..."
+# Usage: make experiment ARGS="--bench=BENCH --arms=old=DIR,new=DIR --sites=SITE --days=DAY --why=..."
 experiment: setup
 	$(BIN)/python -m clementineyoke_standins.console.experiment $(ARGS)
--- a/tools/boundary.py
+++ b/tools/boundary.py
@@ -1,4 +1,4 @@
-"""Fail when a name of the users' platform stands outside the folder that decodes it."""
+"""Check that names of the users' platform occur only in its adapter and stand-ins."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-INSIDE = (
+EXEMPT_FOLDERS = (
     "packages/clementineyoke-node/src/clementineyoke_node/platform/",
     "packages/clementineyoke-standins/src/clementineyoke_standins/edge/",
 )
-"""The adapter, and the stand-ins that play the other side of it."""
-OUTER_WORDS = (
+"""The adapter to the platform, and the stand-ins that simulate the platform."""
+PLATFORM_NAMES = (
     "X-Attempt-Id",
     "X-Server-Signature",
     "X-Server-Load",
@@ -41,25 +41,27 @@
     "gapAimMs",
     "CLEMENTINEYOKE_NODE_FILE",
 )
-_PATTERN = re.compile("|".join(map(re.escape, OUTER_WORDS)), re.IGNORECASE)
+_PATTERN = re.compile("|".join(map(re.escape, PLATFORM_NAMES)), re.IGNORECASE)
 
 
 def main() -> None:
-    """Print each place with an outer word and exit 1 if there is one."""
-    found = [line for path in _sources() for line in _lines_with_words(path)]
+    """Print each line that contains a platform name; exit 1 if there are any."""
+    found = [line for path in _source_files() for line in _find_lines(path)]
     for line in found:
         print(line)
     sys.exit(1 if found else 0)
 
 
-def _sources() -> list[Path]:
+def _source_files() -> list[Path]:
     paths = sorted(ROOT.glob("packages/*/src/**/*.py"))
     return [
-        path for path in paths if not str(path.relative_to(ROOT)).startswith(INSIDE)
+        path
+        for path in paths
+        if not str(path.relative_to(ROOT)).startswith(EXEMPT_FOLDERS)
     ]
 
 
-def _lines_with_words(path: Path) -> list[str]:
+def _find_lines(path: Path) -> list[str]:
     lines = path.read_text().splitlines()
     return [
         f"{path.relative_to(ROOT)}:{number}: {line.strip()}"
--- a/tools/check.py
+++ b/tools/check.py
@@ -1,6 +1,6 @@
-"""Run every check of the project and end with ``N passed, N failed``.
+"""Run every check of the project and print ``N passed, N failed`` at the end.
 
-Each linter, type check and tool counts as one; each behave scenario counts as one.
+Each command in ``CHECKS`` and each behave scenario counts as one.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 ROOT = Path(__file__).parent.parent
 BUILD = ROOT / "build"
-STANDINS = "clementineyoke_standins.console"
+STANDINS_CONSOLE = "clementineyoke_standins.console"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 
 
 class Check(NamedTuple):
-    """A command that passes or fails as one."""
+    """A command that passes if it exits with 0."""
 
     name: str
     module: str
     args: tuple[str, ...]
 
     def command(self) -> list[str]:
-        """Return the command; a module's path is run as a file."""
+        """Return the command line; a ``module`` that ends with .py is run as a file."""
         if self.module.endswith(".py"):
             return [sys.executable, self.module, *self.args]
         return [sys.executable, "-m", self.module, *self.args]
 
 
 class Tally(NamedTuple):
-    """How many passed, and the names of those that failed."""
+    """Number of checks or scenarios that passed, and names of those that failed."""
 
     passed: int
     failed: list[str]
@@ -43,15 +43,19 @@
     Check("lint", "ruff", ("check", ".")),
     Check("types", "mypy", (*map(str, sorted(ROOT.glob("packages/*/src"))), "tools")),
     Check("boundary", "tools/boundary.py", ()),
-    Check("event catalogue", f"{STANDINS}.events", ("--check",)),
-    Check("model", f"{STANDINS}.model", ()),
-    Check("bench bounds", f"{STANDINS}.bench", ("--quick",)),
-    Check("soak", f"{STANDINS}.soak", ("--seeds=1-2", "--length_s=5", "--timed=False")),
+    Check("event catalogue", f"{STANDINS_CONSOLE}.events", ("--check",)),
+    Check("model", f"{STANDINS_CONSOLE}.model", ()),
+    Check("bench bounds", f"{STANDINS_CONSOLE}.bench", ("--quick",)),
+    Check(
+        "soak",
+        f"{STANDINS_CONSOLE}.soak",
+        ("--seeds=1-2", "--length_s=5", "--timed=False"),
+    ),
 )
 
 
 def main() -> None:
-    """Run all and exit 1 if anything failed that is not known to be red."""
+    """Run all checks; exit 1 if any failed that is not listed in KNOWN-RED.txt."""
     BUILD.mkdir(exist_ok=True)
     tallies = [_run_check(check) for check in CHECKS]
     tallies += [_run_features(path) for path in sorted(ROOT.glob("packages/*/tests"))]
@@ -59,13 +63,13 @@
     for name in failed:
         print(f"FAILED {name}")
     print(f"{sum(tally.passed for tally in tallies)} passed, {len(failed)} failed")
-    sys.exit(1 if set(failed) - _known_red() else 0)
+    sys.exit(1 if set(failed) - _known_failures() else 0)
 
 
 def _run_check(check: Check) -> Tally:
     print(f"== {check.name}", flush=True)
-    done = subprocess.run(check.command(), cwd=ROOT, check=False)
-    if done.returncode:
+    result = subprocess.run(check.command(), cwd=ROOT, check=False)
+    if result.returncode:
         return Tally(0, [check.name])
     return Tally(1, [])
 
@@ -80,10 +84,12 @@
     report.unlink(missing_ok=True)
     command = [sys.executable, "-m", "behave", "--format=json", f"--outfile={report}"]
     command += ["--format=progress", "--no-capture", str(tests)]
-    done = subprocess.run(command, cwd=ROOT, check=False)
+    result = subprocess.run(command, cwd=ROOT, check=False)
     tally = _count_scenarios(package, report)
-    if done.returncode and not tally.failed:
-        return Tally(tally.passed, [f"{package}: behave ended with {done.returncode}"])
+    if result.returncode and not tally.failed:
+        return Tally(
+            tally.passed, [f"{package}: behave ended with {result.returncode}"]
+        )
     return tally
 
 
@@ -100,12 +106,12 @@
                 passed += 1
             else:
                 failed.append(f"{package}: {feature['name']}: {element['name']}")
-                print(_errors_of(element))
+                print(_error_messages(element))
     return Tally(passed, failed)
 
 
-def _errors_of(element: dict[str, Any]) -> str:
-    """Return what the steps of a scenario said when they failed."""
+def _error_messages(element: dict[str, Any]) -> str:
+    """Return the error messages of a scenario's failed steps."""
     messages = [
         "\n".join(step["result"].get("error_message", []))
         for step in element["steps"]
@@ -114,7 +120,8 @@
     return "\n".join(message for message in messages if message)
 
 
-def _known_red() -> set[str]:
+def _known_failures() -> set[str]:
+    """Return the names in KNOWN-RED.txt, the first field of each line."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,7 +1,8 @@
-"""Take each mechanism of the edge out, and see that a scenario fails without it.
+"""Mutation tests: apply known faults to the sources and check that a scenario fails.
 
-Not part of CI: it rewrites sources for seconds at a time. ``make mutations`` runs it on
-a clean work tree and exits 1 when a mutation is missed.
+Each mutation disables one mechanism, mostly of the edge. Mutation tests are not part of
+CI because they change source files in place for seconds at a time. Run them with
+``make mutations`` on a clean work tree; it exits with 1 if a mutation is missed.
 """
 
 from __future__ import annotations
@@ -14,620 +15,621 @@
 ROOT = Path(__file__).parent.parent
 CORE = "packages/clementineyoke-core"
 NODE = "packages/clementineyoke-node"
-EDGE = f"{NODE}/src/clementineyoke_node/edge"
-DECISIONS = f"{CORE}/src/clementineyoke_core"
-RUN_LIMIT_S = 90
+NODE_EDGE_SOURCE = f"{NODE}/src/clementineyoke_node/edge"
+CORE_SOURCE = f"{CORE}/src/clementineyoke_core"
+FEATURE_TIMEOUT_S = 90
 
 
 class Mutation(NamedTuple):
-    """One mechanism taken out."""
+    """A fault: the first occurrence of ``old`` in a file is replaced by ``new``."""
 
     name: str
     file: str
     old: str
     new: str
     feature: str
+    """The feature file, or folder of them, that must fail with the fault."""
 
 
 CALLS = f"{NODE}/tests/edge/calls.feature"
 STREAMS = f"{NODE}/tests/edge/streams.feature"
 FLEET = f"{NODE}/tests/edge/fleet.feature"
 NEWS = f"{NODE}/tests/edge/news.feature"
-CRASHING = f"{NODE}/tests/edge/crashing_requests.feature"
-PURE = f"{CORE}/tests/edge"
+CRASHING_REQUESTS = f"{NODE}/tests/edge/crashing_requests.feature"
+CORE_EDGE_TESTS = f"{CORE}/tests/edge"
 
-EVACUATIONS = f"{PURE}/evacuations.feature"
-EVACUATION = f"{NODE}/tests/edge/evacuation.feature"
-COLD = f"{CORE}/tests/cold_runners.feature"
-COLD_CALLS = f"{NODE}/tests/edge/cold_runners.feature"
-SIGNALS = f"{NODE}/tests/edge/runner_signals.feature"
+CORE_EVACUATIONS = f"{CORE_EDGE_TESTS}/evacuations.feature"
+NODE_EVACUATION = f"{NODE}/tests/edge/evacuation.feature"
+CORE_COLD_RUNNERS = f"{CORE}/tests/cold_runners.feature"
+NODE_COLD_RUNNERS = f"{NODE}/tests/edge/cold_runners.feature"
+RUNNER_SIGNALS = f"{NODE}/tests/edge/runner_signals.feature"
 
 MUTATIONS = (
     Mutation(
-        "that a node lives is told like news",
-        f"{DECISIONS}/membership.py",
+        "membership updates from alive to alive are spread",
+        f"{CORE_SOURCE}/membership.py",
         "if update.state is not NodeState.ALIVE or known.state is not NodeState.ALIVE:",
         "if True:",
         f"{CORE}/tests/membership.feature",
     ),
     Mutation(
-        "a last ask carries the mean of busy runners alone",
-        f"{DECISIONS}/slot_search.py",
+        "a last-resort request carries the highest load of the refusals, not the mean",
+        f"{CORE_SOURCE}/slot_search.py",
         "seen_mean = sum(r.in_use for r in self._refusals) / len(self._refusals)",
         "seen_mean = max(r.in_use for r in self._refusals)",
         f"{CORE}/tests/slot_search.feature",
     ),
     Mutation(
-        "an older word on emptied zones is believed",
-        f"{DECISIONS}/edge/evacuations.py",
+        "an older view of evacuations replaces a newer one",
+        f"{CORE_SOURCE}/edge/evacuations.py",
         "if view.revision <= self._view.revision:",
         "if False:",
-        EVACUATIONS,
+        CORE_EVACUATIONS,
     ),
     Mutation(
-        "orders seen again are no newer knowledge",
-        f"{DECISIONS}/edge/evacuations.py",
+        "an unchanged view of evacuations at a later revision is discarded",
+        f"{CORE_SOURCE}/edge/evacuations.py",
         "        self._view = view\n        if is_same:\n            return None\n",
         "        if is_same:\n            return None\n        self._view = view\n",
-        EVACUATIONS,
+        CORE_EVACUATIONS,
     ),
     Mutation(
-        "runners of an emptied zone are ready",
-        f"{DECISIONS}/runner_table.py",
+        "runners of an evacuated zone count as available",
+        f"{CORE_SOURCE}/runner_table.py",
         "return not self.is_evacuated(runner) and not self.is_backed_off(runner)",
         "return not self.is_backed_off(runner)",
-        EVACUATION,
+        NODE_EVACUATION,
     ),
     Mutation(
-        "a node serves before it knows which zones are emptied",
-        f"{EDGE}/fleet_view.py",
+        "a node is ready before it knows which zones are evacuated",
+        f"{NODE_EDGE_SOURCE}/fleet_view.py",
         "knows_zones = self.evacuations.is_known or not self._follows_evacuations",
         "knows_zones = True",
-        EVACUATION,
+        NODE_EVACUATION,
     ),
     Mutation(
-        "peers do not hand over the orders",
-        f"{EDGE}/peer_state_exchange.py",
+        "peers do not hand over evacuations",
+        f"{NODE_EDGE_SOURCE}/peer_state_exchange.py",
         "evacuations.view if evacuations.version > evacuations_revision else None",
         "None",
-        EVACUATION,
+        NODE_EVACUATION,
     ),
     Mutation(
-        "calls to a pool without open runners may come back at once",
-        f"{EDGE}/forwarder.py",
+        "a call to a pool without available runners gets the short Retry-After",
+        f"{NODE_EDGE_SOURCE}/forwarder.py",
         "return NO_RUNNER_RETRY_MS",
         "return REFUSED_RETRY_MS",
-        EVACUATION,
+        NODE_EVACUATION,
     ),
     Mutation(
-        "a zone that returns is taken at its runners' last word",
-        f"{DECISIONS}/cold_runners.py",
+        "runners are never assumed cold, for example after an evacuation",
+        f"{CORE_SOURCE}/cold_runners.py",
         "if duration_ms > 0.0:",
         "if False:",
-        COLD,
+        CORE_COLD_RUNNERS,
     ),
     Mutation(
-        "prompts are fetched by the ring's order alone",
-        f"{DECISIONS}/edge/prompt_holders.py",
+        "prompts are not fetched from the runner that answered them last",
+        f"{CORE_SOURCE}/edge/prompt_holders.py",
         "        return holder.runner\n",
         "        return None\n",
-        f"{PURE}/prompt_holders.feature",
+        f"{CORE_EDGE_TESTS}/prompt_holders.feature",
     ),
     Mutation(
-        "a repeated word makes a runner warm",
-        f"{EDGE}/fleet_view.py",
+        "a repeated old entry makes a cold runner count as warm",
+        f"{NODE_EDGE_SOURCE}/fleet_view.py",
         "return [record for record in records if self._directory.is_newer(record)]",
         "return list(records)",
-        EVACUATION,
+        NODE_EVACUATION,
     ),
     Mutation(
-        "a home grants on cold runners by slots alone",
+        "a home node does not limit the rate of calls to cold runners",
         f"{NODE}/src/clementineyoke_node/slots/slot_home.py",
         "return self._cold_pacer.may_grant(runner_id, now_ms=now_ms)",
         "return True",
-        COLD_CALLS,
+        NODE_COLD_RUNNERS,
     ),
     Mutation(
-        "a runner that took no connections counts as warm",
+        "an unreachable runner is not assumed cold",
         f"{NODE}/src/clementineyoke_node/slots/slot_home.py",
         "            self._assume_cold(runner_id, now_ms)\n",
         "",
         f"{NODE}/tests/slots/slot_home.feature",
     ),
     Mutation(
-        "a node takes a cold runner without its home",
+        "a node bypasses the home node of a cold runner",
         f"{NODE}/src/clementineyoke_node/slots/slot_broker.py",
         "return entry is not None and not self._is_cold(entry.runner)",
         "return entry is not None",
-        COLD_CALLS,
+        NODE_COLD_RUNNERS,
     ),
     Mutation(
-        "a reset ends an answer without a length",
-        f"{EDGE}/runner_protocol.py",
+        "a reset ends a response without a length as if it were complete",
+        f"{NODE_EDGE_SOURCE}/runner_protocol.py",
         "if exc is not None and payload",
         "if False and payload",
         CALLS,
     ),
     Mutation(
-        "a connection with a stray answer is kept",
-        f"{EDGE}/runner_protocol.py",
+        "a connection with unread data is reused",
+        f"{NODE_EDGE_SOURCE}/runner_protocol.py",
         "and is_fresh and not has_unread_data",
         "and is_fresh",
         CALLS,
     ),
     Mutation(
-        "any answer is taken for the call's own",
-        f"{EDGE}/response_checks.py",
+        "a response with another call's id is accepted",
+        f"{NODE_EDGE_SOURCE}/response_checks.py",
         "if head.call_id == call.call_id:",
         "if True:",
         CALLS,
     ),
     Mutation(
-        "a success needs no proof",
-        f"{EDGE}/response_checks.py",
+        "a success without the runner's signature is accepted",
+        f"{NODE_EDGE_SOURCE}/response_checks.py",
         "and not head.has_signature:",
         "and False:",
         CALLS,
     ),
     Mutation(
-        "a bare 503 goes on",
-        f"{EDGE}/response_checks.py",
+        "a 503 that does not state that the call did not run is returned to the caller",
+        f"{NODE_EDGE_SOURCE}/response_checks.py",
         "if head.status in NOT_RUN_STATUSES:",
         "if False:",
         CALLS,
     ),
     Mutation(
-        "a caller sets what only the system may set",
+        "reserved headers of a caller are forwarded",
         f"{NODE}/src/clementineyoke_node/platform/call_decoder.py",
         "if name.lower() not in names.RESERVED_HEADERS",
         "if True",
         CALLS,
     ),
     Mutation(
-        "a head may have two ids",
+        "a header that must have a single value may be repeated",
         f"{NODE}/src/clementineyoke_node/platform/call_decoder.py",
         "if len(fields.getall(name, [])) > 1:",
         "if False:",
         CALLS,
     ),
     Mutation(
-        "idle connections of a leaving node stay open",
-        f"{EDGE}/edge_service.py",
+        "callers' idle connections stay open when a node shuts down",
+        f"{NODE_EDGE_SOURCE}/edge_service.py",
         "connection.force_close()",
         "connection.close()",
         FLEET,
     ),
     Mutation(
-        "a watch of the runners waits through an outage",
-        f"{EDGE}/store_watcher.py",
+        "a watch of the runner entries lasts longer than entries take to expire",
+        f"{NODE_EDGE_SOURCE}/store_watcher.py",
         "MAX_HEARTBEATS_PER_WATCH = 2.0",
         "MAX_HEARTBEATS_PER_WATCH = 20.0",
         FLEET,
     ),
     Mutation(
-        "an older state is put in force",
-        f"{EDGE}/fleet_view.py",
+        "an older desired state is applied",
+        f"{NODE_EDGE_SOURCE}/fleet_view.py",
         "if state.revision <= self.state_revision:",
         "if False:",
         FLEET,
     ),
     Mutation(
         "nothing is fetched from peers",
-        f"{EDGE}/peer_state_exchange.py",
+        f"{NODE_EDGE_SOURCE}/peer_state_exchange.py",
         "if address in self._pending or",
         "if True or",
         FLEET,
     ),
     Mutation(
-        "a torn event goes on",
-        f"{EDGE}/caller_stream.py",
+        "a truncated event is continued with the next runner's stream",
+        f"{NODE_EDGE_SOURCE}/caller_stream.py",
         "self._splitter = EventSplitter()\n        if self._response",
         "if self._response",
         STREAMS,
     ),
     Mutation(
-        "a forgotten connection is trusted again at once",
-        f"{DECISIONS}/edge/idle_connection_policy.py",
+        "idle connections are reused immediately after one was lost",
+        f"{CORE_SOURCE}/edge/idle_connection_policy.py",
         "return lost_ms is None or",
         "return True or",
         CALLS,
     ),
     Mutation(
-        "news are told with the view's revision",
-        f"{EDGE}/update_broadcaster.py",
+        "a broadcast of older changes carries the revision of the view",
+        f"{NODE_EDGE_SOURCE}/update_broadcaster.py",
         "            changes.revision,\n            ages",
         "            known,\n            ages",
         NEWS,
     ),
     Mutation(
-        "news do not say what lapsed",
-        f"{EDGE}/fleet_view.py",
+        "broadcast removals do not carry the remaining wait for a lapsed entry",
+        f"{NODE_EDGE_SOURCE}/fleet_view.py",
         "wait_ms=self._directory.wait_ms(removal.runner_id, now_ms=now_ms)",
         "wait_ms=0",
         NEWS,
     ),
     Mutation(
-        "a watcher skips what peers have told",
-        f"{EDGE}/store_watcher.py",
+        "a watcher continues from a revision that only its peers have read",
+        f"{NODE_EDGE_SOURCE}/store_watcher.py",
         "revision = self._revisions[kind]",
         "revision = max(self._revisions[kind], self._view.runners_revision)",
         NEWS,
     ),
     Mutation(
-        "a told lapse outlives the word of its end",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a lapse reported by a peer outlasts a report of the entry's removal",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if not removal.wait_ms:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a gap in the news goes unnoticed",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a gap between broadcast revisions is ignored",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "return 0 < self.revision >= changes.base_revision",
         "return True",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "silent watchers are trusted for good",
-        f"{DECISIONS}/edge/store_freshness.py",
+        "a view of the store becomes stale a hundred times too late",
+        f"{CORE_SOURCE}/edge/store_freshness.py",
         "MAX_AGE_SHARE = 0.6",
         "MAX_AGE_SHARE = 60.0",
         NEWS,
     ),
     Mutation(
-        "a late word of an end is the last one",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a late removal deletes a newer entry",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if record is None or record.revision > removal.revision:",
         "if record is None:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a lost answer is sent again",
-        f"{DECISIONS}/edge/attempt_ledger.py",
+        "a call that may have run is repeated although it must not be",
+        f"{CORE_SOURCE}/edge/attempt_ledger.py",
         "if self._may_have_run and not self._may_repeat:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "each node spends the whole allowance",
-        f"{DECISIONS}/edge/retry_window.py",
+        "each node has the retry allowance of the whole fleet",
+        f"{CORE_SOURCE}/edge/retry_window.py",
         "allowance = self._allowance / max(1, node_count)",
         "allowance = self._allowance",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a lapse is an end",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a lapsed entry is removed immediately",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if until_ms <= now_ms or record.is_leaving:",
         "if True:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "whatever a peer waits for is adopted",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a running node adopts the lapsed entries of its peers",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "        if not self.revision:\n            self._adopt_lapsed",
         "        if True:\n            self._adopt_lapsed",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a long prompt is waited for like a short one",
-        f"{DECISIONS}/edge/attempt_timeouts.py",
+        "the timeout for a stream's first event does not grow with the prompt",
+        f"{CORE_SOURCE}/edge/attempt_timeouts.py",
         "expected_ms = MIN_HEAD_TIMEOUT_MS + PREFILL_MS_PER_TOKEN * prompt_tokens\n"
         "            first_event_ms",
         "expected_ms = 720.0\n            first_event_ms",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "quarantined runners are never tried",
-        f"{DECISIONS}/pool_rings.py",
+        "quarantined runners are not tried when no other runner is ready",
+        f"{CORE_SOURCE}/pool_rings.py",
         "yield from quarantined",
         "return",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a node without a state says that there is no route",
-        f"{DECISIONS}/edge/admission.py",
+        "a node without a desired state answers 404 instead of 503",
+        f"{CORE_SOURCE}/edge/admission.py",
         'raise _refuse(503, "no desired',
         'raise _refuse(404, "no desired',
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a failing runner is never taken out",
-        f"{DECISIONS}/edge/runner_health.py",
+        "a failing runner is never quarantined",
+        f"{CORE_SOURCE}/edge/runner_health.py",
         "share > MAX_FAILURE_SHARE",
         "share > 1.0",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a paused runner is pressed first",
-        f"{DECISIONS}/slot_search.py",
+        "a held-back runner gets the last-resort request before a busy one",
+        f"{CORE_SOURCE}/slot_search.py",
         "chosen = min(candidates)",
         "chosen = max(candidates)",
         f"{CORE}/tests/slot_search.feature",
     ),
     Mutation(
-        "homes pause nobody",
-        f"{DECISIONS}/fault_rate_breaker.py",
+        "a runner with a high fault rate is never paused",
+        f"{CORE_SOURCE}/fault_rate_breaker.py",
         "is_paused = tally.paused_until_ms > now_ms",
         "is_paused = True",
         f"{CORE}/tests/fault_share.feature",
     ),
     Mutation(
-        "an end that was seen as it happened is waited for like a lapse",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a removal seen while the store was available is waited for like a lapse",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "until_ms = min(until_ms, now_ms + self._max_live_wait_ms)",
         "pass",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a peer's wait begins anew",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a wait reported by a peer starts again from the full grace period",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "now_ms + min(reported_wait_ms, self._max_live_wait_ms)",
         "now_ms + RETURN_GRACE_MS * (reported_wait_ms > 0)",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
         "a node's own lost connection counts as a store outage",
-        f"{DECISIONS}/edge/runner_directory.py",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "return since_ms is None or (",
         "return True or (",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
         "a wait reported by a peer is not capped",
-        f"{DECISIONS}/edge/runner_directory.py",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "min(reported_wait_ms, self._max_live_wait_ms)",
         "reported_wait_ms",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
         "the recovery of a second kind of call starts a wait after a local failure",
-        f"{DECISIONS}/edge/runner_directory.py",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if self._was_failure_local:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a late write of an earlier lifetime counts",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a late write of an earlier lifetime is applied",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if record.runner.born_ms < known.runner.born_ms:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "the end of an earlier lifetime's entry ends the new one",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "the removal of an earlier lifetime's entry removes the new one",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if 0 < removal.born_ms < record.runner.born_ms:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "news of an entry that has ended bring it back",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a late report of an entry that has ended adds it again",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "return is_known or record.revision > self.revision",
         "return True",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "an entry that was written over stays in use",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "an entry overwritten with an unusable one stays in use",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if removal.is_refused:",
         "if False:",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "connections outlive the lifetime that they were made to",
-        f"{EDGE}/address_lifetimes.py",
+        "connections to an earlier lifetime at the same address are reused",
+        f"{NODE_EDGE_SOURCE}/address_lifetimes.py",
         "if known is None or known[0] != lifetime:",
         "if known is None:",
         f"{NODE}/tests/edge/store_entries.feature",
     ),
     Mutation(
-        "an unknown state counts as ready",
+        "an entry with an unknown state is accepted",
         f"{NODE}/src/clementineyoke_node/platform/entry_codec.py",
         'state: Literal["ready", "draining"]',
         "state: str",
         f"{NODE}/tests/edge/store_entries.feature",
     ),
     Mutation(
-        "the first of a list are named to callers, whatever they bear",
-        f"{DECISIONS}/edge/entry_nodes.py",
+        "entry nodes are selected regardless of their capacity",
+        f"{CORE_SOURCE}/edge/entry_nodes.py",
         "if node.calls_per_s >= min_per_s",
         "if True",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "weak hosts are not enough to be named, however many",
-        f"{DECISIONS}/edge/entry_nodes.py",
+        "entry nodes must each sustain the load of the whole fleet alone",
+        f"{CORE_SOURCE}/edge/entry_nodes.py",
         "capacity_per_s >= HEADROOM_FACTOR * calls_per_s",
         "min_per_s >= HEADROOM_FACTOR * calls_per_s",
-        PURE,
+        CORE_EDGE_TESTS,
     ),
     Mutation(
-        "a call's last runner is given up like its first",
-        f"{EDGE}/runner_timeout.py",
+        "an attempt is abandoned at the soft timeout although no retry is left",
+        f"{NODE_EDGE_SOURCE}/runner_timeout.py",
         "if self.may_retry():",
         "if True:",
         CALLS,
     ),
     Mutation(
-        "a start writes its entry whether it is there or not",
-        f"{EDGE}/node_registration.py",
+        "a starting node writes its entry even if it is registered",
+        f"{NODE_EDGE_SOURCE}/node_registration.py",
         "if self._local_node in await",
         "if None in await",
         NEWS,
     ),
     Mutation(
-        "a start asks the store for what its peers hand over",
-        f"{EDGE}/store_watcher.py",
+        "a starting node reads from the store what its peers handed over",
+        f"{NODE_EDGE_SOURCE}/store_watcher.py",
         "return self._view.is_stale(followed.part)",
         "return self._positions.get(followed.kind) is None",
         NEWS,
     ),
     Mutation(
-        "watchers are chosen by name",
+        "watchers are chosen by node id instead of capacity",
         f"{NODE}/src/clementineyoke_node/node_state.py",
         "return -node.calls_per_s, node.node_id",
         "return 0, node.node_id",
         NEWS,
     ),
     Mutation(
-        "one node's word makes a runner unreachable",
-        f"{DECISIONS}/reachability_breaker.py",
+        "a report from a single node makes a runner unreachable",
+        f"{CORE_SOURCE}/reachability_breaker.py",
         "if reporters < MIN_REPORTERS:",
         "if False:",
         f"{CORE}/tests/reachability.feature",
     ),
     Mutation(
-        "answers do not tell a busy runner from a dead one",
-        f"{DECISIONS}/reachability_breaker.py",
+        "an answer does not clear reports that a runner is unreachable",
+        f"{CORE_SOURCE}/reachability_breaker.py",
         "self._outages.pop(runner_id, None)\n\n    def record_unreachable",
         "return\n\n    def record_unreachable",
         f"{CORE}/tests/reachability.feature",
     ),
     Mutation(
-        "connections that failed are not told to the runner's home",
+        "a home node counts a report of an unreachable runner as an ordinary fault",
         f"{NODE}/src/clementineyoke_node/slots/slot_home.py",
         "if fault.is_unreachable:",
         "if False:",
         f"{NODE}/tests/slots/slot_home.feature",
     ),
     Mutation(
-        "a leaving node tells it as often as any rumour",
-        f"{DECISIONS}/membership.py",
+        "a leaving node does not add its own update to every message",
+        f"{CORE_SOURCE}/membership.py",
         "if self.is_leaving and self._local_node.node_id not in chosen:",
         "if False:",
         f"{CORE}/tests/membership.feature",
     ),
     Mutation(
-        "each runner of a common end counts",
-        f"{DECISIONS}/edge/crash_records.py",
+        "runners that crashed for a common cause are counted separately",
+        f"{CORE_SOURCE}/edge/crash_records.py",
         "if sent_ms < known.last_ms - REPORT_ORDER_TOLERANCE_MS:",
         "if False:",
-        f"{PURE}/crash_records.feature",
+        f"{CORE_EDGE_TESTS}/crash_records.feature",
     ),
     Mutation(
-        "an answer clears nothing",
-        f"{DECISIONS}/edge/crash_records.py",
+        "an answer does not clear a request's crash record",
+        f"{CORE_SOURCE}/edge/crash_records.py",
         "cleared = CrashRecord(clears=known.clears + 1, last_ms=now_ms)",
         "cleared = known",
-        f"{PURE}/crash_records.feature",
+        f"{CORE_EDGE_TESTS}/crash_records.feature",
     ),
     Mutation(
-        "whoever was beside a request bears its ends",
-        f"{DECISIONS}/edge/crash_records.py",
+        "crashes explained by another request count against a request",
+        f"{CORE_SOURCE}/edge/crash_records.py",
         "explained += max_crashes > record.crashes",
         "explained += 0",
-        f"{PURE}/crash_records.feature",
+        f"{CORE_EDGE_TESTS}/crash_records.feature",
     ),
     Mutation(
-        "of two suspected requests both are refused",
-        f"{DECISIONS}/edge/crash_records.py",
+        "a contested request is refused after as few crashes as an uncontested one",
+        f"{CORE_SOURCE}/edge/crash_records.py",
         "CRASHES_TO_REFUSE_CONTESTED if is_contested else CRASHES_TO_REFUSE",
         "CRASHES_TO_REFUSE",
-        f"{PURE}/crash_records.feature",
+        f"{CORE_EDGE_TESTS}/crash_records.feature",
     ),
     Mutation(
-        "a connection that broke is a runner that ended",
-        f"{EDGE}/crash_tracker.py",
+        "a broken connection counts as a crash while the runner accepts connections",
+        f"{NODE_EDGE_SOURCE}/crash_tracker.py",
         "if is_listening:",
         "if False:",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "a leaving runner's end counts",
-        f"{EDGE}/crash_tracker.py",
+        "the end of a draining runner counts as a crash",
+        f"{NODE_EDGE_SOURCE}/crash_tracker.py",
         "entry is None or entry.state is RunnerState.DRAINING",
         "entry is None",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "a suspected request gets its second try",
-        f"{EDGE}/forwarder.py",
+        "a suspected request is retried after a lost connection",
+        f"{NODE_EDGE_SOURCE}/forwarder.py",
         "if failure.is_connection_lost and self._crash_tracker.is_suspect(admitted):",
         "if False:",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "a node that starts takes over no records",
-        f"{EDGE}/peer_state_exchange.py",
+        "a starting node discards its peers' crash records",
+        f"{NODE_EDGE_SOURCE}/peer_state_exchange.py",
         "self._crash_tracker.merge_notes(received.crashes)",
         "pass",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "nobody reads what the store keeps of refused requests",
-        f"{EDGE}/crash_archive.py",
+        "crash records are not loaded from the store",
+        f"{NODE_EDGE_SOURCE}/crash_archive.py",
         "await self._load()",
         "return",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "what the store keeps of refused requests stays",
-        f"{EDGE}/crash_archive.py",
+        "expired crash records are not deleted from the store",
+        f"{NODE_EDGE_SOURCE}/crash_archive.py",
         "await self._store.delete(names.CRASHES_KIND, digest.hex())",
         "pass",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "a suspected request follows its prompt",
-        f"{EDGE}/forwarder.py",
+        "a suspected request is routed by its prompt",
+        f"{NODE_EDGE_SOURCE}/forwarder.py",
         "key = self._crash_tracker.isolation_key(admitted)",
         "key = None",
-        CRASHING,
+        CRASHING_REQUESTS,
     ),
     Mutation(
-        "a drain signalled in an answer is ignored",
-        f"{EDGE}/runner_signals.py",
+        "a drain signalled in a response is ignored",
+        f"{NODE_EDGE_SOURCE}/runner_signals.py",
         "if head.is_draining and self._on_draining(runner):",
         "if head.is_draining and False:",
-        SIGNALS,
+        RUNNER_SIGNALS,
     ),
     Mutation(
-        "a refusal's time to back off is ignored",
-        f"{EDGE}/runner_signals.py",
+        "a backoff requested in a refusal is ignored",
+        f"{NODE_EDGE_SOURCE}/runner_signals.py",
         "if head.retry_after_ms and self._table.record_backoff(",
         "if False and self._table.record_backoff(",
-        SIGNALS,
+        RUNNER_SIGNALS,
     ),
     Mutation(
-        "a later entry takes the signal of a drain back",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a later entry cancels a drain signalled in a response",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "if record.runner.lifetime in self._draining:",
         "if False:",
-        f"{PURE}/draining_runners.feature",
+        f"{CORE_EDGE_TESTS}/draining_runners.feature",
     ),
     Mutation(
-        "a peer's news of a drain counts as known",
-        f"{DECISIONS}/edge/runner_directory.py",
+        "a peer's report of a drain is ignored",
+        f"{CORE_SOURCE}/edge/runner_directory.py",
         "return record.is_leaving and self._mark_draining(known, record.runner)",
         "return False",
-        f"{PURE}/draining_runners.feature",
+        f"{CORE_EDGE_TESTS}/draining_runners.feature",
     ),
     Mutation(
-        "the home in another zone is not told of a drain",
-        f"{EDGE}/edge_io.py",
+        "the home node in another zone is not notified of a drain",
+        f"{NODE_EDGE_SOURCE}/edge_io.py",
         "self.broadcaster.send_to(home, changes)",
         "pass",
-        SIGNALS,
+        RUNNER_SIGNALS,
     ),
     Mutation(
-        "a shorter time ends a backoff",
-        f"{DECISIONS}/runner_table.py",
+        "a shorter backoff replaces a longer one",
+        f"{CORE_SOURCE}/runner_table.py",
         "if until_ms <= self._backoffs.get(runner.lifetime, 0.0):",
         "if False:",
-        f"{PURE}/backoff.feature",
+        f"{CORE_EDGE_TESTS}/backoff.feature",
     ),
     Mutation(
-        "calls are pressed on a runner within its backoff",
-        f"{DECISIONS}/runner_table.py",
+        "a runner in backoff counts as available",
+        f"{CORE_SOURCE}/runner_table.py",
         "return not self.is_evacuated(runner) and not self.is_backed_off(runner)",
         "return not self.is_evacuated(runner)",
-        f"{PURE}/backoff.feature",
+        f"{CORE_EDGE_TESTS}/backoff.feature",
     ),
     Mutation(
-        "a connection is kept longer than its runner says",
-        f"{EDGE}/runner_protocol.py",
+        "the idle timeout announced by a runner is ignored",
+        f"{NODE_EDGE_SOURCE}/runner_protocol.py",
         "if announced is not None:",
         "if False:",
         CALLS,
@@ -636,18 +638,20 @@
 
 
 def main() -> None:
-    """Try all, or those whose names hold the argument; exit 1 when one is missed.
+    """Run all mutations, or those whose names contain the argument.
 
-    One that no longer fits the source counts as missed.
+    Exits with 1 if a mutation is missed. A mutation whose ``old`` text is no
+    longer in its file counts as missed.
     """
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
-    tried = [mutation for mutation in MUTATIONS if wanted in mutation.name]
-    missed = [mutation.name for mutation in tried if not _is_caught(mutation)]
-    print(f"{len(tried) - len(missed)} caught, {len(missed)} missed")
+    name_part = sys.argv[1] if len(sys.argv) > 1 else ""
+    selected = [mutation for mutation in MUTATIONS if name_part in mutation.name]
+    missed = [mutation.name for mutation in selected if not _is_caught(mutation)]
+    print(f"{len(selected) - len(missed)} caught, {len(missed)} missed")
     sys.exit(1 if missed else 0)
 
 
 def _is_caught(mutation: Mutation) -> bool:
+    """Apply a mutation, run its feature and restore the file."""
     path = ROOT / mutation.file
     source = path.read_text()
     if mutation.old not in source:
@@ -655,22 +659,27 @@
         return False
     path.write_text(source.replace(mutation.old, mutation.new, 1))
     try:
-        caught = _fails(mutation.feature)
+        caught = _feature_fails(mutation.feature)
     finally:
         path.write_text(source)
     print(f"{'caught' if caught else 'MISSED'} {mutation.name}", flush=True)
     return caught
 
 
-def _fails(feature: str) -> bool:
+def _feature_fails(feature: str) -> bool:
+    """Return whether a feature fails; running into the timeout counts as a failure."""
     command = [sys.executable, "-m", "behave", feature, "--stop", "--no-capture"]
     try:
-        done = subprocess.run(
-            command, cwd=ROOT, check=False, capture_output=True, timeout=RUN_LIMIT_S
+        result = subprocess.run(
+            command,
+            cwd=ROOT,
+            check=False,
+            capture_output=True,
+            timeout=FEATURE_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
         return True
-    return done.returncode != 0
+    return result.returncode != 0
 
 
 if __name__ == "__main__":
