--- a/packages/clementineyoke-cli/tests/steps/commands_steps.py
+++ b/packages/clementineyoke-cli/tests/steps/commands_steps.py
@@ -43,8 +43,8 @@
     settings = SettingsReplica(
         objects=objects,
         peers=None,
-        has_watch_duty=lambda: True,
-        has_snapshot_duty=lambda: True,
+        is_watcher=lambda: True,
+        is_snapshot_writer=lambda: True,
     )
     api = AdminApi(
         key_hashes=[hash_key(KEY)],
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
@@ -8,7 +8,7 @@
 from clementineyoke_core.claims.decision import ClaimDecision, ClaimVerdict
 from clementineyoke_core.claims.record import ClaimRecord, ClaimState
 from clementineyoke_core.claims.segment import (
-    RING_SLOTS,
+    MAX_SEGMENTS,
     ChainHead,
     ChainRead,
     Segment,
@@ -105,7 +105,7 @@
         self._closed_at_ms = {}
         for number in range(read.head.first, read.head.open + 1):
             stored = read.segments[number]
-            self._slot_versions[number % RING_SLOTS] = stored.version
+            self._slot_versions[number % MAX_SEGMENTS] = stored.version
             if stored.segment is not None:
                 self._closed_at_ms[number - 1] = stored.segment.opened_at_ms
                 self._add_to_view(stored.segment)
@@ -173,7 +173,7 @@
         self._open = write.result
         self._open_version = version
         self._open_bytes = len(write.body)
-        self._slot_versions[self._open.number % RING_SLOTS] = version
+        self._slot_versions[self._open.number % MAX_SEGMENTS] = version
         self._closed_at_ms[self._open.number - 1] = self._open.opened_at_ms
         self._add_to_view(self._open)
 
@@ -205,7 +205,7 @@
         next_number = self._head.open + 1
         # The ring has a free slot by the clock of the home that sealed the segment,
         # which may be ahead of the local one.
-        first = max(self._first_retained(wall_ms), next_number - RING_SLOTS + 1)
+        first = max(self._first_retained(wall_ms), next_number - MAX_SEGMENTS + 1)
         head = ChainHead(first, next_number)
         name = head_name(self._shard)
         return ChainWrite(WriteKind.HEAD, name, self._head_version, encode(head), head)
@@ -222,12 +222,12 @@
         self._head = head
         self._head_version = version
         self._open = Segment(head.open, 0, False, {})
-        self._open_version = self._slot_versions.get(head.open % RING_SLOTS, 0)
+        self._open_version = self._slot_versions.get(head.open % MAX_SEGMENTS, 0)
         self._open_bytes = 0
 
     def _must_seal(self, wall_ms: int) -> bool:
         retained = self._head.open + 1 - self._first_retained(wall_ms) + 1
-        if not self._open.records or retained > RING_SLOTS:
+        if not self._open.records or retained > MAX_SEGMENTS:
             return False
         is_old = wall_ms - self._open.opened_at_ms >= self._span_ms
         return is_old or self._open_bytes >= MAX_SEGMENT_BYTES
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/segment.py
@@ -8,7 +8,7 @@
 
 from clementineyoke_core.claims.record import ClaimRecord  # noqa: TC001 (msgspec)
 
-RING_SLOTS = 40
+MAX_SEGMENTS = 40
 """Limit of retained segments per shard; a slot is reused after its segment expired."""
 
 
@@ -60,7 +60,7 @@
 
 def segment_name(shard: str, number: int) -> str:
     """Return the name of the object in whose ring slot a segment is stored."""
-    return f"{shard}/{number % RING_SLOTS:02d}"
+    return f"{shard}/{number % MAX_SEGMENTS:02d}"
 
 
 def encode(value: Segment | ChainHead) -> bytes:
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/edge_call.py
@@ -17,7 +17,7 @@
     """Path and query string as the caller sent them."""
     path: str
     hostname: str
-    passed_headers: tuple[tuple[str, str], ...]
+    forwarded_headers: tuple[tuple[str, str], ...]
     """Caller's headers that are forwarded to the runner."""
     head_bytes: int
     """Size of the request line and headers."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_health.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_health.py
@@ -61,14 +61,14 @@
         if not self._table.is_current(runner):
             return
         if outcome is AttemptOutcome.NOT_SENT:
-            self._table.record_transport_failure(runner.runner_id, now_ms=now_ms)
+            self._table.quarantine(runner.runner_id, now_ms=now_ms)
             return
         tally = self._tally(runner, now_ms)
         tally = tally._replace(failures=tally.failures + 1)
         self._tallies[runner.lifetime] = tally
         share = tally.failures / (tally.failures + tally.successes)
         if tally.failures >= MIN_FAILURES and share > MAX_FAILURE_SHARE:
-            self._table.record_transport_failure(runner.runner_id, now_ms=now_ms)
+            self._table.quarantine(runner.runner_id, now_ms=now_ms)
 
     def retain(self, live_lifetimes: set[str]) -> None:
         """Drop the counts of all lifetimes but the given ones."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/membership.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from clementineyoke_core.membership_update import MembershipUpdate, NodeState
+from clementineyoke_core.membership_update import MembershipUpdate, MemberState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -40,7 +40,7 @@
         self._nodes: dict[str, Node] = {local_node.node_id: local_node}
         self._updates: dict[str, MembershipUpdate] = {
             local_node.node_id: MembershipUpdate(
-                local_node.node_id, incarnation, NodeState.ALIVE
+                local_node.node_id, incarnation, MemberState.ALIVE
             )
         }
         self._listed_leaving: set[str] = set()
@@ -104,10 +104,10 @@
         """Return the known node that sends from an address, or None."""
         return self._by_address.get((address, peer_port))
 
-    def state(self, node_id: str) -> NodeState:
+    def state(self, node_id: str) -> MemberState:
         """Return a node's state in this view."""
         if node_id in self._listed_leaving:
-            return NodeState.LEAVING
+            return MemberState.LEAVING
         return self._update_of(node_id).state
 
     def alive(self, *, region: str | None = None) -> list[Node]:
@@ -115,7 +115,7 @@
         return [
             node
             for node in self._nodes.values()
-            if self.state(node.node_id) is NodeState.ALIVE
+            if self.state(node.node_id) is MemberState.ALIVE
             and region in (None, node.region)
         ]
 
@@ -144,7 +144,10 @@
         if not update.supersedes(known):
             return False
         self._updates[update.node_id] = update
-        if update.state is not NodeState.ALIVE or known.state is not NodeState.ALIVE:
+        if (
+            update.state is not MemberState.ALIVE
+            or known.state is not MemberState.ALIVE
+        ):
             # An update from alive to alive is not spread: in a fleet's first minute,
             # when each node meets all others, such updates would fill the messages and
             # delay those on dead nodes.
@@ -156,7 +159,7 @@
         self._missed_probes.pop(node_id, None)
         self._contacted.add(node_id)
         return self.apply_update(
-            MembershipUpdate(node_id, incarnation, NodeState.ALIVE)
+            MembershipUpdate(node_id, incarnation, MemberState.ALIVE)
         )
 
     def suspect(self, node_id: str) -> None:
@@ -166,12 +169,12 @@
         fleet. Without it, a dead home is detected only when its turn to be probed
         comes.
         """
-        if self.state(node_id) is NodeState.ALIVE:
+        if self.state(node_id) is MemberState.ALIVE:
             self._missed_probes.setdefault(node_id, 0)
 
     def record_missed_probe(self, node_id: str) -> bool:
         """Record an unanswered probe; return whether the node now counts as down."""
-        if self.state(node_id) is not NodeState.ALIVE:
+        if self.state(node_id) is not MemberState.ALIVE:
             return False
         missed = self._missed_probes.get(node_id, 0) + 1
         self._missed_probes[node_id] = missed
@@ -179,25 +182,25 @@
             return False
         known = self._update_of(node_id)
         return self.apply_update(
-            MembershipUpdate(node_id, known.incarnation, NodeState.DOWN)
+            MembershipUpdate(node_id, known.incarnation, MemberState.DOWN)
         )
 
     @property
     def is_leaving(self) -> bool:
         """Whether the local node is leaving the fleet."""
-        return self.state(self._local_node.node_id) is NodeState.LEAVING
+        return self.state(self._local_node.node_id) is MemberState.LEAVING
 
     def begin_leaving(self) -> None:
         """Mark the local node as leaving and spread this to the others."""
         local_id = self._local_node.node_id
-        update = MembershipUpdate(local_id, self.incarnation + 1, NodeState.LEAVING)
+        update = MembershipUpdate(local_id, self.incarnation + 1, MemberState.LEAVING)
         self._updates[local_id] = update
         self._spread(local_id)
 
     def next_probe(self) -> Node | None:
         """Return the node to probe next: a suspected one, else by shuffled turns."""
         for node_id in self._missed_probes:
-            if node_id in self._nodes and self.state(node_id) is NodeState.ALIVE:
+            if node_id in self._nodes and self.state(node_id) is MemberState.ALIVE:
                 return self._nodes[node_id]
         while True:
             if not self._probe_order:
@@ -229,7 +232,7 @@
             self._sends_left[node_id] -= 1
             if self._sends_left[node_id] <= 0:
                 del self._sends_left[node_id]
-        if self.state(receiver) is not NodeState.ALIVE and receiver not in chosen:
+        if self.state(receiver) is not MemberState.ALIVE and receiver not in chosen:
             chosen.append(receiver)
         if self.is_leaving and self._local_node.node_id not in chosen:
             # Nodes that have not received it would keep sending callers to this node.
@@ -238,7 +241,7 @@
 
     def _refute(self, update: MembershipUpdate) -> bool:
         local = self._updates[self._local_node.node_id]
-        if local.state is NodeState.ALIVE and update.supersedes(local):
+        if local.state is MemberState.ALIVE and update.supersedes(local):
             self._updates[local.node_id] = local._replace(
                 incarnation=update.incarnation + 1
             )
@@ -250,4 +253,6 @@
         self._sends_left[node_id] = RETRANSMIT_FACTOR * rounds
 
     def _update_of(self, node_id: str) -> MembershipUpdate:
-        return self._updates.get(node_id, MembershipUpdate(node_id, 0, NodeState.ALIVE))
+        return self._updates.get(
+            node_id, MembershipUpdate(node_id, 0, MemberState.ALIVE)
+        )
--- a/packages/clementineyoke-core/src/clementineyoke_core/membership_update.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership_update.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class NodeState(IntEnum):
+class MemberState(IntEnum):
     """A node's state in a view; at the same incarnation the larger value wins."""
 
     ALIVE = 0
@@ -19,7 +19,7 @@
 
     node_id: str
     incarnation: int
-    state: NodeState
+    state: MemberState
 
     def supersedes(self, other: MembershipUpdate) -> bool:
         """Return whether this is newer than another update on the same node."""
--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -49,7 +49,7 @@
             if self._table.is_ready(runner_id):
                 found_ready = True
                 yield runner_id
-            elif self._table.is_last_resort(runner_id):
+            elif self._table.may_use_quarantined(runner_id):
                 quarantined.append(runner_id)
         if not found_ready:
             yield from quarantined
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
@@ -116,7 +116,7 @@
         entry = self._entries.get(runner_id)
         return entry is not None and entry.state is RunnerState.QUARANTINED
 
-    def is_last_resort(self, runner_id: str) -> bool:
+    def may_use_quarantined(self, runner_id: str) -> bool:
         """Return whether a quarantined runner may get calls when no runner is ready."""
         entry = self._entries.get(runner_id)
         if entry is None or not self._is_available(entry.runner):
@@ -178,7 +178,7 @@
                 entry.runner, RunnerState.DRAINING, 0, now_ms + MAX_LIST_LAG_MS
             )
 
-    def record_transport_failure(self, runner_id: str, *, now_ms: float) -> None:
+    def quarantine(self, runner_id: str, *, now_ms: float) -> None:
         """Quarantine a runner that failed before a request had begun."""
         entry = self._entries.get(runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
@@ -198,7 +198,7 @@
             self._entries[runner_id] = entry._replace(state=RunnerState.READY)
             return
         if entry.state is RunnerState.QUARANTINED:
-            self.record_transport_failure(runner_id, now_ms=now_ms)
+            self.quarantine(runner_id, now_ms=now_ms)
             return
         self._entries[runner_id] = entry._replace(state=RunnerState.NOT_READY)
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
@@ -29,7 +29,7 @@
 class SlotHolder(NamedTuple):
     """Holder of a slot: the requesting node and its number of the request."""
 
-    node_id: str
+    requester: str
     ask_id: int
 
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/steering.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/steering.py
@@ -15,7 +15,7 @@
 ANSWER_TTL_MS = 10_000
 
 
-class SteeringAnswer(NamedTuple):
+class NodeSelection(NamedTuple):
     """An ordered list of nodes and how long the caller may use it."""
 
     nodes: list[Node]
@@ -47,7 +47,7 @@
         alive: list[Node],
         chat_home: str | None = None,
         rotation: int = 0,
-    ) -> SteeringAnswer:
+    ) -> NodeSelection:
         """Return the team's nodes, the home of the chat's runner first.
 
         The others are rotated by a number that varies between answers: callers use the
@@ -59,7 +59,7 @@
         first = [node for node in alive if node.node_id == chat_home]
         rest = [node for node in chosen if node.node_id != chat_home]
         start = rotation % max(1, len(rest))
-        return SteeringAnswer(first + rest[start:] + rest[:start], self._keep_ms)
+        return NodeSelection(first + rest[start:] + rest[:start], self._keep_ms)
 
 
 def spread_over_zones(ranked: list[Node]) -> list[Node]:
--- a/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
+++ b/packages/clementineyoke-core/tests/steps/claims_chain_steps.py
@@ -15,7 +15,7 @@
 from clementineyoke_core.claims.decision import ClaimVerdict
 from clementineyoke_core.claims.messages import ClaimAttempt, ClaimReport
 from clementineyoke_core.claims.record import StoredAnswer
-from clementineyoke_core.claims.segment import RING_SLOTS
+from clementineyoke_core.claims.segment import MAX_SEGMENTS
 from clementineyoke_standins.platform.chain_platform import ChainPlatform
 
 SHARD = "claims/0"
@@ -100,7 +100,7 @@
 @when("claims of {size:d} bytes fill every segment of home {number:d}")
 def fill(context, size, number):
     assert size == MAX_SEGMENT_BYTES
-    for segment in range(RING_SLOTS):
+    for segment in range(MAX_SEGMENTS):
         claims = [
             make_claim(f"{segment:04x}{n:020x}", f"holder-{n}") for n in range(9_000)
         ]
--- a/packages/clementineyoke-core/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-core/tests/steps/edge_steps.py
@@ -451,7 +451,7 @@
         target=f"/{path}",
         path=f"/{path}",
         hostname=host,
-        passed_headers=(),
+        forwarded_headers=(),
         head_bytes=head,
         body=bytes(body),
         key=key or None,
--- a/packages/clementineyoke-core/tests/steps/membership_steps.py
+++ b/packages/clementineyoke-core/tests/steps/membership_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from clementineyoke_core.membership import Membership
-from clementineyoke_core.membership_update import MembershipUpdate, NodeState
+from clementineyoke_core.membership_update import MembershipUpdate, MemberState
 from clementineyoke_core.node import Node
 
 
@@ -46,7 +46,7 @@
 
 @when("{node_id} announces that it is leaving")
 def announce_leaving(context, node_id):
-    context.view.apply_update(MembershipUpdate(node_id, 101, NodeState.LEAVING))
+    context.view.apply_update(MembershipUpdate(node_id, 101, MemberState.LEAVING))
 
 
 @when("a message from {node_id} arrives with its old incarnation")
@@ -64,7 +64,7 @@
     leaving = [node for node in context.nodes if node.node_id == node_id]
     live = [node for node in context.nodes if node.node_id != node_id]
     context.view.apply_host_list(live=live, leaving=leaving)
-    assert context.view.state(node_id) is NodeState.LEAVING
+    assert context.view.state(node_id) is MemberState.LEAVING
     context.view.apply_host_list(live=context.nodes, leaving=[])
 
 
@@ -80,7 +80,7 @@
 
 @then("{node_id} is {state} in the view")
 def check_state(context, node_id, state):
-    assert context.view.state(node_id) is NodeState[state.upper()]
+    assert context.view.state(node_id) is MemberState[state.upper()]
     alive = {node.node_id for node in context.view.alive()}
     assert (node_id in alive) == (state == "alive")
 
@@ -88,7 +88,7 @@
 @then("the update on {node_id} is sent to others")
 def check_sent(context, node_id):
     updates = context.view.updates_to_send(receiver="node-5")
-    assert MembershipUpdate(node_id, 100, NodeState.DOWN) in updates
+    assert MembershipUpdate(node_id, 100, MemberState.DOWN) in updates
 
 
 @then("{count:d} turns of probing reach every node, including {node_id}")
@@ -109,7 +109,7 @@
     local_id = context.view.local_node.node_id
     for peer in peers:
         updates = context.view.updates_to_send(receiver=peer.node_id)
-        assert MembershipUpdate(local_id, 101, NodeState.LEAVING) in updates, peer
+        assert MembershipUpdate(local_id, 101, MemberState.LEAVING) in updates, peer
 
 
 ROUNDS_PER_S = 4
--- a/packages/clementineyoke-core/tests/steps/runner_table_steps.py
+++ b/packages/clementineyoke-core/tests/steps/runner_table_steps.py
@@ -28,7 +28,7 @@
 @when("{count:d} exchanges in a row fail before they begin")
 def fail(context, count):
     for _ in range(count):
-        context.runners.record_transport_failure("engine-1", now_ms=0)
+        context.runners.quarantine("engine-1", now_ms=0)
 
 
 @when("the list shows the runner live again")
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
@@ -190,9 +190,7 @@
         # A failure before the request was sent is a fault of the runner, not of the
         # request, so the runner is quarantined until a probe finds it ready.
         if not error.may_have_run:
-            self._table.record_transport_failure(
-                error.peer, now_ms=self._timers.now_ms()
-            )
+            self._table.quarantine(error.peer, now_ms=self._timers.now_ms())
         self._decisions.record(
             Event.RUNNER_FAILED,
             request_id=call.caller.request_id,
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/node_place.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/common_node_config.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 
-class NodePlace(Protocol):
+class CommonNodeConfig(Protocol):
     """The settings that ``NodeState`` uses."""
 
     @property
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/settings_file.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/config_file.py
@@ -41,7 +41,7 @@
     return load_edge_config(path)
 
 
-class SettingsFile:
+class ConfigFile:
     """Own the settings in force and report those of a changed file.
 
     An invalid file changes nothing: if the node exited on it, every partially written
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from clementineyoke_node.config.config_error import ConfigError
-from clementineyoke_node.config.settings_file import (
-    SettingsFile,
+from clementineyoke_node.config.config_file import (
+    ConfigFile,
     load_config_with_retries,
 )
 from clementineyoke_node.edge.edge_service import EdgeService
@@ -58,7 +58,7 @@
 async def _serve(config: EdgeConfig, path: str, start: EarlyStart) -> None:
     loop = asyncio.get_running_loop()
     service = EdgeService(config=config, take_listener=start.take_listener)
-    settings = SettingsFile(path=path, config=config, on_change=service.apply_config)
+    settings = ConfigFile(path=path, config=config, on_change=service.apply_config)
     # Set before any call is accepted: with the default handlers a signal would end the
     # process and abort its calls.
     loop.add_signal_handler(signal.SIGTERM, service.request_stop)
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/directory_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/address_api.py
@@ -25,7 +25,7 @@
 ask hundreds of times a second."""
 
 
-class DirectoryApi:
+class AddressApi:
     """Return the nodes that currently accept calls."""
 
     def __init__(
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/caller_stream.py
@@ -40,7 +40,7 @@
         if self._response is not None:
             return
         response = web.StreamResponse(status=head.status)
-        for name, value in head.passed_headers:
+        for name, value in head.forwarded_headers:
             response.headers.add(name, value)
         if is_leaving:
             response.force_close()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
@@ -152,7 +152,7 @@
         if len(broken_calls) == 1:
             self._tasks.spawn(self._probe_runner(runner), name="look_into_break")
 
-    def record_response(self, admitted: AdmittedCall) -> None:
+    def record_answer(self, admitted: AdmittedCall) -> None:
         """Clear a call's request after a runner has answered it without crashing."""
         if self._records.is_empty:
             return
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -124,8 +124,8 @@
             timers=self.timers,
             is_watcher=self._is_watcher,
         )
-        self._make_slots()
-        self._make_fleet()
+        self._create_slot_components()
+        self._create_fleet_components()
         self.forwarder = self._make_forwarder()
 
     async def __aenter__(self) -> Self:
@@ -140,7 +140,7 @@
             self.store_watcher,
         ):
             await self._stack.enter_async_context(component)
-        self._subscribe()
+        self._start_timers()
         self.tasks.spawn(self.registration.register(), name="enter_roster")
         self.tasks.spawn(
             self.crash_archive.load_after(self.registration.registered),
@@ -199,7 +199,7 @@
             self.introducer.send_hello(PeerAddress(address, self._config.peer_port))
             self.peers.fetch(seed)
 
-    def _make_slots(self) -> None:
+    def _create_slot_components(self) -> None:
         state = self._state
         self.slot_home = SlotHome(
             own_id=state.config.node_id,
@@ -227,7 +227,7 @@
             is_cold=self._is_cold,
         )
 
-    def _make_fleet(self) -> None:
+    def _create_fleet_components(self) -> None:
         state = self._state
         self.peers = PeerStateExchange(
             view=self.view, crash_tracker=self.crash_tracker, signer=state.signer
@@ -363,7 +363,7 @@
         self._state.table.end_expired_quarantines(now_ms=self.timers.now_ms())
         self.crash_tracker.drop_expired()
 
-    def _subscribe(self) -> None:
+    def _start_timers(self) -> None:
         gossip_ms = self._config.gossip_interval_ms
         schedule = (
             ("gossip", gossip_ms, self.gossiper.run_round),
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -11,8 +11,8 @@
 from clementineyoke_core.edge.startup_wait import StartupWait
 from clementineyoke_node.config.edge_config import port_of
 from clementineyoke_node.console.early_start import BACKLOG
+from clementineyoke_node.edge.address_api import AddressApi
 from clementineyoke_node.edge.caller_api import CallerApi
-from clementineyoke_node.edge.directory_api import DirectoryApi
 from clementineyoke_node.edge.edge_io import EdgeIo
 from clementineyoke_node.edge.operator_api import OperatorApi
 from clementineyoke_node.edge.peer_state_exchange import STATE_PATH
@@ -65,7 +65,7 @@
             startup_wait=StartupWait(),
             call_rate=self.state.call_rate,
         )
-        self._directory_api = DirectoryApi(
+        self._directory_api = AddressApi(
             membership=self.state.membership,
             is_serving=self._is_serving,
             calls_per_s=self.io.fleet_calls_per_s,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/forwarder.py
@@ -121,8 +121,8 @@
                     failure = error
                 else:
                     self._health.record_success(runner, now_ms=self._timers.now_ms())
-                    self._crash_tracker.record_response(admitted)
-                    self._broker.record_answered(lease)
+                    self._crash_tracker.record_answer(admitted)
+                    self._broker.record_answer(lease)
                     return self._complete(
                         admitted,
                         stream.response if response is None else _to_response(response),
@@ -295,7 +295,7 @@
         runner = lease.runner
         ledger.record(error.peer, error.outcome)
         if error.outcome in REACHABLE_OUTCOMES:
-            self._broker.record_answered(lease)
+            self._broker.record_answer(lease)
         if admitted.deadline_ms > now_ms:
             # A failure after the call's deadline is no evidence against the runner: the
             # operator's timeout may be shorter than the work.
@@ -323,7 +323,7 @@
 
 def _to_response(complete: CompleteResponse) -> web.Response:
     response = web.Response(status=complete.head.status, body=complete.body)
-    for name, value in complete.head.passed_headers:
+    for name, value in complete.head.forwarded_headers:
         if name.lower() == "content-type":
             response.headers[name] = value
         else:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/runner_connection_pool.py
@@ -82,7 +82,7 @@
         self,
         runner: Runner,
         call: EdgeCall,
-        order: RoutingHeaders,
+        routing: RoutingHeaders,
         *,
         runner_timeout: RunnerTimeout,
         may_repeat: bool,
@@ -102,7 +102,7 @@
         )
         session = self._choose_session(runner, may_repeat=may_repeat)
         response = await self._request(
-            session, runner, call, order, runner_timeout=runner_timeout
+            session, runner, call, routing, runner_timeout=runner_timeout
         )
         is_complete = False
         try:
@@ -155,7 +155,7 @@
         session: aiohttp.ClientSession,
         runner: Runner,
         call: EdgeCall,
-        order: RoutingHeaders,
+        routing: RoutingHeaders,
         *,
         runner_timeout: RunnerTimeout,
     ) -> aiohttp.ClientResponse:
@@ -170,7 +170,7 @@
                 return await session.request(
                     call.method,
                     url,
-                    headers=encode_call_headers(call, order),
+                    headers=encode_call_headers(call, routing),
                     data=call.body or None,
                     timeout=timeout,
                     allow_redirects=False,
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/gossiper.py
@@ -7,7 +7,7 @@
 from clementineyoke_core.edge.store_freshness import UNKNOWN_AGES
 from clementineyoke_core.hashing import hash_text
 from clementineyoke_core.mean_load import LoadShare
-from clementineyoke_core.membership_update import MembershipUpdate, NodeState
+from clementineyoke_core.membership_update import MembershipUpdate, MemberState
 from clementineyoke_node.peers.peer_socket import PeerAddress
 from clementineyoke_wire.events import Event, log_event
 from clementineyoke_wire.messages import CrashNote, Gossip, PoolLoad, RumourNote
@@ -26,7 +26,7 @@
 """Peers notified immediately when a node leaves, a new sample for each announcement.
 Notifying only a few fixed peers takes seconds to spread by gossip in a large fleet, and
 meanwhile callers are sent to a node that no longer accepts connections."""
-KNOWN_STATES = frozenset(int(state) for state in NodeState)
+KNOWN_STATES = frozenset(int(state) for state in MemberState)
 
 
 class Gossiper:
@@ -177,7 +177,7 @@
                 # Nodes that run a later release may send additional states.
                 continue
             update = MembershipUpdate(
-                note.node_id, note.incarnation, NodeState(note.state)
+                note.node_id, note.incarnation, MemberState(note.state)
             )
             changed = self._membership.apply_update(update) or changed
         if changed:
--- a/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/fleet/host_watcher.py
@@ -77,11 +77,11 @@
         for name in changes.removed:
             self._hosts.pop(name, None)
         if changes.is_full or changes.hosts or changes.removed:
-            self._update_listeners()
+            self._apply_hosts()
             log_event(Event.HOSTS_CHANGED, revision=self._revision)
         self.ready.set()
 
-    def _update_listeners(self) -> None:
+    def _apply_hosts(self) -> None:
         nodes: list[Node] = []
         leaving_nodes: list[Node] = []
         runners: list[Runner] = []
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_io.py
@@ -63,8 +63,8 @@
         self.settings = SettingsReplica(
             objects=self.platform,
             peers=HttpPeerSettings(signer=state.signer),
-            has_watch_duty=state.is_watcher,
-            has_snapshot_duty=state.is_snapshot_writer,
+            is_watcher=state.is_watcher,
+            is_snapshot_writer=state.is_snapshot_writer,
         )
         self._create_slot_components()
         self._create_claim_components()
--- a/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/node_state.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from clementineyoke_node.config.node_place import NodePlace
+    from clementineyoke_node.config.common_node_config import CommonNodeConfig
 
 WATCHERS_PER_ZONE = 2
 MIN_ZONES_FOR_SINGLE_WATCHERS = 4
@@ -40,7 +40,7 @@
 class NodeState:
     """Own a node's view of the fleet, its counters and its metrics."""
 
-    def __init__(self, *, config: NodePlace) -> None:
+    def __init__(self, *, config: CommonNodeConfig) -> None:
         self.config = config
         local_node = Node(
             config.node_id,
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/call_decoder.py
@@ -65,7 +65,7 @@
         target=target,
         path=target.partition("?")[0],
         hostname=fields.get("Host", "").partition(":")[0],
-        passed_headers=_forwarded_headers(fields),
+        forwarded_headers=_forwarded_headers(fields),
         head_bytes=_count_head_bytes(method, target, fields),
         body=body,
         key=_decode_key(fields.get(names.AUTHORIZATION)),
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
@@ -47,14 +47,14 @@
     retry_after_ms: float
     """Time for which the runner asks for backoff; 0 if it does not."""
     is_event_stream: bool
-    passed_headers: list[tuple[str, str]]
+    forwarded_headers: list[tuple[str, str]]
 
 
 def encode_call_headers(
     call: EdgeCall, routing: RoutingHeaders
 ) -> list[tuple[str, str]]:
     """Return the headers of a call to one runner."""
-    fields = list(call.passed_headers)
+    fields = list(call.forwarded_headers)
     fields.append((names.EXPECTED_RUNNER, routing.runner_id))
     if call.budget_ms is not None or routing.remaining_ms:
         fields.append((names.REMAINING_TIME_MS, str(max(1, int(routing.remaining_ms)))))
@@ -79,7 +79,7 @@
         is_draining=_is_draining(status, fields),
         retry_after_ms=_decode_retry_after_ms(status, fields),
         is_event_stream=fields.get("Content-Type", "").startswith(EVENT_STREAM),
-        passed_headers=remove_hop_by_hop(list(fields.items())),
+        forwarded_headers=remove_hop_by_hop(list(fields.items())),
     )
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_client.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_client.py
@@ -44,18 +44,18 @@
     """
 
     def __init__(self) -> None:
-        self._pooled: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._keepalive_session: aiohttp.ClientSession | None = None
+        self._single_use_session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Self:
         """Open both connection pools."""
-        self._pooled = _make_session(force_close=False)
-        self._fresh = _make_session(force_close=True)
+        self._keepalive_session = _make_session(force_close=False)
+        self._single_use_session = _make_session(force_close=True)
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         """Close both connection pools."""
-        for session in (self._pooled, self._fresh):
+        for session in (self._keepalive_session, self._single_use_session):
             if session is not None:
                 await session.close()
 
@@ -120,7 +120,7 @@
             ) from error
 
     def _session(self, *, is_idempotent: bool) -> aiohttp.ClientSession:
-        session = self._pooled if is_idempotent else self._fresh
+        session = self._keepalive_session if is_idempotent else self._single_use_session
         if session is None:
             message = "runner client is not open"
             raise RuntimeError(message)
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
@@ -38,7 +38,7 @@
         ...
 
 
-class DutyCheck(Protocol):
+class RoleCheck(Protocol):
     """Returns whether this node is currently responsible for a task.
 
     It is safe if two nodes both believe so.
@@ -62,15 +62,15 @@
         *,
         objects: ObjectApi,
         peers: PeerSettings,
-        has_watch_duty: DutyCheck,
-        has_snapshot_duty: DutyCheck,
+        is_watcher: RoleCheck,
+        is_snapshot_writer: RoleCheck,
     ) -> None:
         self._objects = objects
         self._snapshots = SnapshotStore(objects=objects)
-        self._has_snapshot_duty = has_snapshot_duty
+        self._has_snapshot_duty = is_snapshot_writer
         self._snapshot_version = 0
         self._peers = peers
-        self._has_watch_duty = has_watch_duty
+        self._has_watch_duty = is_watcher
         self._active_fetches: set[str] = set()
         self._tasks = BackgroundTasks()
         self.log = SettingsLog()
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
@@ -149,7 +149,7 @@
         finally:
             self._end_lease(lease)
 
-    def record_answered(self, lease: SlotLease) -> None:
+    def record_answer(self, lease: SlotLease) -> None:
         """Record that the runner answered.
 
         The runner's home learns of it with the release of the slot.
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
@@ -123,7 +123,7 @@
         now_ms = self._timers.now_ms()
         is_last_resort = seen_mean > 0.0
         is_paused = not is_last_resort and self._is_paused(runner_id, now_ms)
-        if is_paused or not self._can_accept_call(runner_id, now_ms):
+        if is_paused or not self._may_grant_cold(runner_id, now_ms):
             in_use = self._ledger.in_use(runner_id)
             return Failure(SlotRefusal(runner_id, in_use, is_held=True))
         bound = self._compute_bound(runner_id, seen_mean, load_factor)
@@ -206,7 +206,7 @@
     async def expire(self) -> None:
         """Drop the grants whose lease has expired."""
         for runner_id, holder in self._ledger.expire(now_ms=self._timers.now_ms()):
-            log_event(Event.SLOT_LAPSED, runner=runner_id, holder=holder.node_id)
+            log_event(Event.SLOT_LAPSED, runner=runner_id, holder=holder.requester)
             self._update_pool_load(runner_id)
 
     def _is_paused(self, runner_id: str, now_ms: float) -> bool:
@@ -220,7 +220,7 @@
         self._reachability_breaker.remove_runner(runner_id)
         self._cold_pacer.remove_runner(runner_id)
 
-    def _can_accept_call(self, runner_id: str, now_ms: float) -> bool:
+    def _may_grant_cold(self, runner_id: str, now_ms: float) -> bool:
         """Return whether a runner, if it is cold, can accept another call now."""
         if self._cold_calls_per_s(runner_id, now_ms) is None:
             return True
@@ -265,7 +265,7 @@
             del self._queues[runner_id]
 
     def _has_capacity(self, runner_id: str) -> bool:
-        if not self._can_accept_call(runner_id, self._timers.now_ms()):
+        if not self._may_grant_cold(runner_id, self._timers.now_ms()):
             return False
         return self._ledger.in_use(runner_id) < self._compute_bound(runner_id)
 
--- a/packages/clementineyoke-node/tests/steps/edge_steps.py
+++ b/packages/clementineyoke-node/tests/steps/edge_steps.py
@@ -16,8 +16,8 @@
 from behave import given, then, when
 from edge_fleet import CALL_ID_HEADER, KEY, EdgeFleet, make_route
 
-from clementineyoke_node.config.settings_file import (
-    SettingsFile,
+from clementineyoke_node.config.config_file import (
+    ConfigFile,
     load_config_with_retries,
 )
 from clementineyoke_node.edge.store_watcher import StoreWatcher
@@ -505,7 +505,7 @@
     context.file = Path(folder.name) / "node.json"
     context.file.write_bytes(msgspec.json.encode(config))
     context.applied = []
-    context.settings = SettingsFile(
+    context.settings = ConfigFile(
         path=str(context.file), config=config, on_change=context.applied.append
     )
 
--- a/packages/clementineyoke-node/tests/steps/node_state_steps.py
+++ b/packages/clementineyoke-node/tests/steps/node_state_steps.py
@@ -4,7 +4,7 @@
 
 from clementineyoke_core.membership_update import (
     MembershipUpdate,
-    NodeState as PeerState,
+    MemberState as PeerState,
 )
 from clementineyoke_core.node import Node
 from clementineyoke_core.runner import Runner, RunnerKind
--- a/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
+++ b/packages/clementineyoke-node/tests/steps/settings_writer_steps.py
@@ -30,8 +30,8 @@
     replica = SettingsReplica(
         objects=context.objects,
         peers=NoPeers(),
-        has_watch_duty=lambda: True,
-        has_snapshot_duty=lambda: True,
+        is_watcher=lambda: True,
+        is_snapshot_writer=lambda: True,
     )
     writer = SettingsWriter(
         objects=context.objects, settings=replica, author_node="node-1"
@@ -183,8 +183,8 @@
         replica = SettingsReplica(
             objects=context.objects,
             peers=OnePeer(context.replica.log),
-            has_watch_duty=lambda: True,
-            has_snapshot_duty=lambda: False,
+            is_watcher=lambda: True,
+            is_snapshot_writer=lambda: False,
         )
         async with replica:
             peer = Node("peer", "127.0.0.1", 1, 2, "zone", "region")
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/paper_case.py
@@ -83,7 +83,7 @@
         while probes and probes[0] <= at_ms:
             table.record_probe(dead, ready=False, now_ms=heapq.heappop(probes))
         while failures and failures[0] <= at_ms:
-            table.record_transport_failure(dead, now_ms=heapq.heappop(failures))
+            table.quarantine(dead, now_ms=heapq.heappop(failures))
         if next(rings.order(POOL, key)) == dead:
             delayed += 1
             heapq.heappush(failures, at_ms + CONNECT_TIMEOUT_MS)
--- a/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
+++ b/packages/clementineyoke-standins/src/clementineyoke_standins/bench/policies/fleet.py
@@ -93,7 +93,7 @@
         holder, _ = self._holders.pop(request_number)
         if home is None:
             return
-        if holder.node_id != home:
+        if holder.requester != home:
             self.sent_counts["slot_release"] += 1
         self._ledgers[home].release(runner_id, holder)
         self._update_local_load(home)
@@ -151,7 +151,7 @@
             for holder in holders:
                 self._ledgers[new].renew(runner_id, holder, now_ms=0.0)
             self.sent_counts["slot_renewal"] += len(
-                {holder.node_id for holder in holders} - {new}
+                {holder.requester for holder in holders} - {new}
             )
 
     def _search(self, request: Request, *, now_ms: float) -> Choice:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -48,7 +48,10 @@
     Mutation(
         "membership updates from alive to alive are spread",
         f"{CORE_SOURCE}/membership.py",
-        "if update.state is not NodeState.ALIVE or known.state is not NodeState.ALIVE:",
+        "if (\n"
+        "            update.state is not MemberState.ALIVE\n"
+        "            or known.state is not MemberState.ALIVE\n"
+        "        ):",
         "if True:",
         f"{CORE}/tests/membership.feature",
     ),
