--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/chain.py
@@ -32,9 +32,9 @@
 
     CLAIMS = "claims"
     SEAL = "seal"
-    """After it no home can add to the segment."""
+    """Seals the open segment; no home can add to it afterwards."""
     HEAD = "head"
-    """Makes the next segment the open one."""
+    """Advances the head, which makes the next segment the open one."""
 
 
 class ChainWrite(NamedTuple):
@@ -203,8 +203,9 @@
 
     def _write_head(self, wall_ms: int) -> ChainWrite:
         next_number = self._head.open + 1
-        # The ring has a free slot by the clock of the home that sealed the segment,
-        # which may be ahead of the local one.
+        # The home that sealed the open segment found the next ring slot free by its own
+        # clock. If that clock is ahead of the local one, the segment in this slot still
+        # counts as retained here, but has to be dropped so that the slot can be reused.
         first = max(self._first_retained(wall_ms), next_number - MAX_SEGMENTS + 1)
         head = ChainHead(first, next_number)
         name = head_name(self._shard)
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/decision.py
@@ -13,7 +13,7 @@
     """Result of a claim."""
 
     GRANTED = 0
-    """The claim is durable and this holder's, which may run the request once."""
+    """This holder's claim is durable; the holder may run the request once."""
     ANSWERED = 1
     """The key's request has run; the decision has the stored answer, if any."""
     UNKNOWN = 2
@@ -21,7 +21,10 @@
     MISMATCH = 3
     """The key was used for a different request."""
     UNAVAILABLE = 4
-    """No claim was written for this holder, so the request does not run."""
+    """No claim was granted, so the request does not run.
+
+    If the home did not reply in time, it may have written the claim nevertheless.
+    """
 
 
 class ClaimDecision(NamedTuple):
--- a/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/claims/messages.py
@@ -1,4 +1,4 @@
-"""Requests to the home node of a shard."""
+"""Claims and reports that are sent to the home node of a shard."""
 
 from __future__ import annotations
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/attempt_timeouts.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/attempt_timeouts.py
@@ -13,13 +13,12 @@
 """Time for connection, queue and first step of a runner under normal load."""
 PREFILL_MS_PER_TOKEN = 0.05
 """Twice the prefill time of engines that read 48 tokens per ms, so that a runner that
-reads a long prompt does not look dead. With a timeout at a fixed share of the
-objective, a sixth of all streams were abandoned during prefill and started again
-elsewhere."""
+reads a long prompt does not look dead. A timeout at a fixed share of the objective
+abandons a sixth of all streams during prefill and starts them again elsewhere."""
 OVERDUE_FACTOR = 3.0
 MIN_OVERDUE_MS = 1_500.0
-"""A healthy runner with cold caches and a queue is late for a while. With half of this
-value, healthy runners were taken out of use and their prompts computed again
+"""A healthy runner with cold caches and a queue is late for a while. A limit of half
+this time takes such runners out of use, and their prompts are computed again
 elsewhere."""
 EVENT_GAP_FACTOR = 2.0
 """A gap between events longer than this multiple of its objective means a dead runner:
@@ -84,10 +83,10 @@
     def last_attempt_timeout_ms(self, route: Route, *, prompt_tokens: int) -> float:
         """Return how long to wait for a response when no other runner may be tried.
 
-        With a shorter timeout, a runner that is merely slow turns a late response into
-        none. With one runner of a small pool unresponsive and one slow, 44 calls ended
-        with a 502, most of them after 0.6 s at a second runner that was working on
-        them; with this timeout 10 did.
+        A shorter timeout turns the late response of a slow runner into none. With one
+        runner of a small pool unresponsive and one slow, 44 calls then end with a 502,
+        most of them after 0.6 s at a second runner that is working on them; with this
+        timeout 10 do.
         """
         if not route.may_repeat:
             return route.timeout_ms
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/runner_directory.py
@@ -15,8 +15,9 @@
 RETURN_GRACE_MS = 2_200.0
 """How long runners have to renew entries that lapsed in an outage. They take about 2 s
 after the store's recovery, which a node notices some hundred ms late. A node that alone
-was cut off must follow the store again 3 s after the cut has ended; with 2,500 ms and a
-recovery noticed 340 ms late it still sent calls to a runner that had left."""
+was cut off must follow the store again 3 s after the cut has ended; 2,500 ms are too
+long for that: if it notices the recovery 340 ms late, it still sends calls to a runner
+that has left."""
 FIRST_READ_MS = 50.0
 """Changes read within this time after a node has noticed the store's recovery may have
 happened in the outage. The first response is processed in the same turn of the event
--- a/packages/clementineyoke-core/src/clementineyoke_core/edge/store_freshness.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/edge/store_freshness.py
@@ -36,8 +36,8 @@
 
     Few nodes watch the store; they report changes to the others. A node that is cut off
     from the watchers would silently keep using an old state, for example still accept
-    revoked API keys. Each confirmation is therefore sent with its age, and a node whose
-    latest confirmation is too old asks the store itself.
+    withdrawn API keys. Each confirmation is therefore sent with its age, and a node
+    whose latest confirmation is too old asks the store itself.
     """
 
     def __init__(self, *, bound_ms: float) -> None:
--- a/packages/clementineyoke-core/src/clementineyoke_core/fault_rate_breaker.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/fault_rate_breaker.py
@@ -31,8 +31,9 @@
 
     One node sees a small part of a runner's calls: with nine nodes and six runners, two
     consecutive faults at one node are seconds apart, and chats keep failing meanwhile.
-    The runner's home counts every grant and receives every fault report, so it detects
-    a faulty runner within a few calls of the whole fleet.
+    The runner's home counts the slots that it grants without queuing and receives the
+    fault reports of all nodes, so it detects a faulty runner within a few calls of the
+    whole fleet.
     """
 
     def __init__(self) -> None:
--- a/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/hash_ring.py
@@ -21,7 +21,7 @@
 
     A lookup costs one bisection. ``set_members`` updates only what changed, at the cost
     of one copy of the points. Sorting all points again takes 3.3 ms for 75 members, and
-    nodes answered callers late during a release of 49 runners.
+    nodes answered callers late during a rollout of 49 runners.
     """
 
     def __init__(self, *, points_per_member: int = DEFAULT_POINTS_PER_MEMBER) -> None:
--- a/packages/clementineyoke-core/src/clementineyoke_core/load_bound.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/load_bound.py
@@ -10,8 +10,8 @@
 ESTIMATE_SCALE = 0.95
 """Factor applied to the estimated mean, which may be too high as well as too low.
 
-With 1.0, 4.3% of grants exceed the bound of the true mean; with 0.95, 0.6%; with 0.9, a
-single grant. Reuse of cached context falls from 0.907 to 0.875 and 0.839.
+Without it, 4.3% of grants exceed the bound of the true mean; with it, 0.6%. It lowers
+the reuse of cached context from 0.907 to 0.875; a factor of 0.9 lowers it to 0.839.
 """
 
 
--- a/packages/clementineyoke-core/src/clementineyoke_core/membership.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/membership.py
@@ -78,7 +78,10 @@
             self._sends_left.pop(node_id, None)
 
     def add(self, node: Node) -> bool:
-        """Add a node that introduced itself; return whether it is new or changed."""
+        """Add a node from its hello or from the store, or replace its known data.
+
+        Return whether the node is new or changed.
+        """
         known = self._nodes.get(node.node_id)
         if known == node:
             return False
--- a/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/pool_rings.py
@@ -15,8 +15,9 @@
 class PoolRings:
     """Order a pool's ready runners for a key.
 
-    A ring has every listed runner, and those that are not ready or leaving are skipped
-    in the order. A quarantine of half a second thus moves no chats of other runners.
+    A ring has every listed runner, and the order skips those that are leaving or
+    otherwise not ready. A quarantine of half a second thus moves no chats of other
+    runners.
     """
 
     def __init__(self, *, table: RunnerTable, region: str) -> None:
@@ -57,7 +58,10 @@
     def unavailable_before(
         self, pool: str, key: int, runner_id: str
     ) -> Iterator[tuple[str, str]]:
-        """Yield the unavailable runners before one in a key's order, with reasons."""
+        """Yield the draining or backed off runners before one in a key's order.
+
+        Each comes with its reason, ``draining`` or ``backoff``.
+        """
         ring = self._rings.get(pool)
         if ring is None:
             return
--- a/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/runner_table.py
@@ -23,7 +23,10 @@
     runner: Runner
     state: RunnerState
     failures: int
-    """Consecutive transport failures before a request had begun."""
+    """Times that the runner was quarantined since its last answered request.
+
+    A failed probe or call that prolongs a quarantine counts as well.
+    """
     retry_at_ms: float
     """Monotonic time from which a quarantined runner may be probed again.
 
@@ -128,7 +131,11 @@
         return runner.lifetime in self._backoffs
 
     def unavailable_reason(self, runner_id: str) -> str | None:
-        """Return why a runner takes no calls, ``draining`` or ``backoff``, or None."""
+        """Return ``draining`` or ``backoff`` if that keeps calls from a runner.
+
+        Otherwise return None, even if the runner takes no calls for another reason,
+        such as a quarantine or the evacuation of its zone.
+        """
         entry = self._entries.get(runner_id)
         if entry is None:
             return None
@@ -179,7 +186,11 @@
             )
 
     def quarantine(self, runner_id: str, *, now_ms: float) -> None:
-        """Quarantine a runner that failed before a request had begun."""
+        """Quarantine a runner, or prolong its quarantine, after a failure.
+
+        The quarantine doubles with each failure, up to ``MAX_QUARANTINE_MS``, until the
+        runner answers a request.
+        """
         entry = self._entries.get(runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
             return
@@ -190,7 +201,11 @@
         )
 
     def record_probe(self, runner_id: str, *, ready: bool, now_ms: float) -> None:
-        """Record a probe's result; a ready runner leaves quarantine and warm-up."""
+        """Record a probe's result; success marks the runner as ready.
+
+        Failure prolongs a quarantine, or marks the runner as not ready. The state of a
+        draining runner does not change.
+        """
         entry = self._entries.get(runner_id)
         if entry is None or entry.state is RunnerState.DRAINING:
             return
@@ -225,7 +240,7 @@
         return due
 
     def due_for_probe(self, *, now_ms: float) -> list[Runner]:
-        """Return the runners in quarantine or warm-up that are due for a probe."""
+        """Return the runners to probe: those not ready, and those due in quarantine."""
         return [
             entry.runner
             for entry in self._entries.values()
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_ledger.py
@@ -30,6 +30,7 @@
     """Holder of a slot: the requesting node and its number of the request."""
 
     requester: str
+    """Id of this node, or ``address:port`` of a peer."""
     ask_id: int
 
 
@@ -80,7 +81,7 @@
         return expired
 
     def remove_runner(self, runner_id: str) -> None:
-        """Remove a runner that has moved to another home."""
+        """Remove a runner that restarted, left or moved to another home."""
         self._expires_at_ms.pop(runner_id, None)
 
     def in_use(self, runner_id: str) -> int:
--- a/packages/clementineyoke-core/src/clementineyoke_core/slot_search.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/slot_search.py
@@ -8,7 +8,8 @@
     from collections.abc import Callable, Iterator
 
 MAX_REQUESTS = 8
-"""Runners tried in the chat's ring order before the last-resort request."""
+"""Runners tried, the preferred one first and then in ring order, before the last-resort
+requests."""
 MAX_TIMEOUTS = 2
 """Homes that may time out before the search ends."""
 MIN_SEEN_MEAN = 0.01
@@ -24,7 +25,7 @@
 
     runner_id: str
     rank: int
-    """Position of the runner in the chat's order, from 0."""
+    """Number of runners that were tried before this one; 0 for a preferred runner."""
     seen_mean: float
     """Mean load of the runners that refused; 0 except in a last-resort request."""
 
@@ -39,7 +40,7 @@
 
 
 class SlotSearch:
-    """Walk a chat's order of runners until a home grants a slot.
+    """Walk a key's order of runners until a home grants a slot.
 
     During a surge the estimates of the mean load lag by about a second, so every bound
     is too low and requests are refused although runners have free slots. The exact
@@ -107,7 +108,7 @@
     ) -> SlotAttempt | None:
         """Return the runner with the lowest last known load whose home timed out.
 
-        Waiting for a dead home would delay every chat of its runners for the seconds
+        Waiting for a dead home would delay every call to its runners for the seconds
         until the fleet detects the failure. ``is_eligible`` selects the runners that
         may get a call that no home has counted.
         """
--- a/packages/clementineyoke-core/src/clementineyoke_core/team_budget.py
+++ b/packages/clementineyoke-core/src/clementineyoke_core/team_budget.py
@@ -7,7 +7,8 @@
 from clementineyoke_core.token_bucket import TokenBucket
 
 PREFETCH_SHARE = 0.1
-"""Share of the tokens above half the burst that a grant adds beyond the request."""
+"""Share of the tokens above half the burst that is granted beyond the first token,
+unless more were requested."""
 MAX_PREFETCH_TOKENS = 20.0
 
 
--- a/packages/clementineyoke-wire/src/clementineyoke_wire/messages.py
+++ b/packages/clementineyoke-wire/src/clementineyoke_wire/messages.py
@@ -15,9 +15,9 @@
     ask_id: int
     runner: int
     seen_mean: float
-    """Mean load reported by the home nodes that refused this request.
+    """Mean load of the runners whose home nodes refused this request.
 
-    0 if no loads are reported; a value above 0 marks the last attempt of a search.
+    0 except in a last-resort request; the home node recognizes one by a value above 0.
     """
     wait_ms: int = 0
     """How long the request may be queued; 0 for an immediate reply."""
@@ -25,7 +25,11 @@
     """Hash of the team's path; only set if the request may be queued."""
     priority: int = 0
     load_factor: float = 0.0
-    """Maximum load as a multiple of the mean; 0 for the home node's default."""
+    """Maximum load as a multiple of the mean; 0 for the home node's default.
+
+    A last-resort request uses the default if that is higher, a request that may be
+    queued always uses it.
+    """
 
 
 class SlotReply(NamedTuple):
@@ -57,7 +61,10 @@
 
 
 class SlotRenewal(NamedTuple):
-    """Renewal of the sender's slots on a runner, or transfer to its new home node."""
+    """Renewal of the sender's slots on a runner.
+
+    A new home node of the runner learns from it which slots are in use.
+    """
 
     runner: int
     ask_ids: list[int]
@@ -159,7 +166,7 @@
     runner_id: str
     revision: int
     wait_ms: int
-    """Remaining time in which the runner may return; above 0 if the entry expired."""
+    """Remaining time in which the runner may return; above 0 if the entry lapsed."""
     born_ms: int
     is_refused: bool
     """Whether the entry still exists but is not valid."""
