--- a/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/admin/admin_api.py
@@ -38,7 +38,7 @@
 class AdminApi:
     """Serve status, explanations, settings and drain to operators with a key.
 
-    Health, readiness and metrics need no key; settings for peers are sealed.
+    Health, readiness and metrics need no key; settings for peers are signed.
     """
 
     def __init__(
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/dispatcher.py
@@ -76,8 +76,9 @@
     ) -> AsyncIterator[tuple[Runner, aiohttp.ClientResponse]]:
         """Yield the runner and its response; the slot is held until the context ends.
 
-        Raises ``RequestError``. A call that may have been executed is sent again only
-        if it is idempotent.
+        Raises ``RequestError`` if no runner grants a slot, the deadline has passed, or
+        an attempt failed and may not be repeated. A call that may have been executed is
+        sent again only if it is idempotent.
         """
         self._retry_budget.deposit()
         tried: list[str] = []
--- a/packages/clementineyoke-node/src/clementineyoke_node/callers/response_relay.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/callers/response_relay.py
@@ -38,9 +38,9 @@
 ) -> web.StreamResponse:
     """Stream a response to the caller; memory use is bounded by the socket buffers.
 
-    Raises ``TruncatedAnswerError`` when the runner's response ends early. The caller's
-    connection must then be aborted: if it were closed cleanly, the caller would take
-    the truncated response for a complete one.
+    Raises ``TruncatedResponseError`` when the runner's response ends early. The
+    caller's connection must then be aborted: if it were closed cleanly, the caller
+    would take the truncated response for a complete one.
     """
     response = _start_response(runner_response, runner=runner, request_id=request_id)
     response.headers.update(extra_headers or {})
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/chain_store.py
@@ -55,7 +55,7 @@
         if segment.number == number:
             return StoredSegment(stored.version, segment)
         if number != head.open or segment.number > number:
-            # The ring slot was reused after the head was read.
+            # The object was reused for another segment after the head was read.
             raise PlatformError(
                 step="read",
                 peer=name,
--- a/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/claims/shard_task.py
@@ -138,8 +138,8 @@
 
     def _write_due_ms(self) -> float:
         # The platform accepts some hundred writes a second from the whole fleet.
-        # Without pacing, 1,000 posts a second cause 912 writes, since the report of
-        # each grant is written separately.
+        # Without pacing, 1,000 claims a second cause 912 writes, since the report of
+        # each granted claim is written separately.
         next_write_ms = self._last_write_ms + MIN_WRITE_INTERVAL_MS
         if self._pending:
             return next_write_ms
--- a/packages/clementineyoke-node/src/clementineyoke_node/config/node_config.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/config/node_config.py
@@ -49,7 +49,7 @@
 
     @property
     def calls_per_s(self) -> int:
-        """Always 0: this interface distributes callers by the rates of their teams."""
+        """Always 0: ``AddressHandler`` distributes callers by their teams' rates."""
         return 0
 
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/early_start.py
@@ -31,7 +31,8 @@
 
     def __enter__(self) -> EarlyStart:
         """Open the sockets; from here on SIGHUP and SIGTERM do not end the process."""
-        # Changed settings are not missed: the settings are read after this.
+        # A change before the settings are read is not missed. One between that and the
+        # creation of ``ConfigFile``, which records the file's time, goes unnoticed.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signal.signal(signal.SIGTERM, self._on_stop_signal)
         for address in self._addresses:
--- a/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/console/edge_process.py
@@ -58,18 +58,18 @@
 async def _serve(config: EdgeConfig, path: str, start: EarlyStart) -> None:
     loop = asyncio.get_running_loop()
     service = EdgeService(config=config, take_listener=start.take_listener)
-    settings = ConfigFile(path=path, config=config, on_change=service.apply_config)
+    config_file = ConfigFile(path=path, config=config, on_change=service.apply_config)
     # Set before any call is accepted: with the default handlers a signal would end the
     # process and abort its calls.
     loop.add_signal_handler(signal.SIGTERM, service.request_stop)
     loop.add_signal_handler(signal.SIGINT, service.request_stop)
-    loop.add_signal_handler(signal.SIGHUP, settings.reload)
+    loop.add_signal_handler(signal.SIGHUP, config_file.reload)
     if start.is_stop_requested:
         service.request_stop()
     async with service:
         service.io.timers.subscribe(
             "settings",
             interval_ms=SETTINGS_CHECK_INTERVAL_MS,
-            callback=settings.reload_if_modified,
+            callback=config_file.reload_if_modified,
         )
         await service.run_until_stopped()
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_error.py
@@ -28,6 +28,6 @@
         self.peer = peer
         self.reason = reason
         self.is_connection_lost = is_connection_lost
-        """Whether the connection broke during the call, as when a runner dies."""
+        """Whether the connection broke during the call, as when a runner crashes."""
         self.response = response
-        """The runner's own error response, returned if no retry succeeds."""
+        """The runner's signed error response, returned if no retry succeeds."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/attempt_executor.py
@@ -84,7 +84,7 @@
                 peer=runner.runner_id,
                 reason="no time left",
             )
-        order = RoutingHeaders(
+        routing = RoutingHeaders(
             runner_id=runner.runner_id,
             team=admitted.team,
             remaining_ms=left_ms,
@@ -97,7 +97,7 @@
             async with self._connection_pool.send(
                 runner,
                 admitted.call,
-                order,
+                routing,
                 runner_timeout=head_timeout,
                 may_repeat=admitted.route.may_repeat,
             ) as response:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/crash_tracker.py
@@ -53,15 +53,15 @@
 
 
 class CrashTracker:
-    """Keeps the node's records of requests under which runners have crashed.
+    """Keeps the node's records of requests that runners have crashed while running.
 
     A node whose call breaks checks whether the runner has crashed, and reports it to
     the request's home nodes, the first ones in the order of its digest. They count the
-    crashes, and notify all nodes once several runners have crashed under the request.
-    A crash thus costs one datagram per call and home node, whatever the size of the
-    fleet, and only a suspected request costs one per node. Records that are lost on the
-    way are repeated by gossip, and a node that starts gets them with the rest of the
-    state. The store is not needed.
+    crashes, and notify all nodes once several runners have crashed while running the
+    request. A crash thus costs one datagram per call and home node, whatever the size
+    of the fleet, and only a suspected request costs one per node. Records that are lost
+    on the way are repeated by gossip, and a node that starts gets them with the rest of
+    the state. The store is not needed.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
         return self._records.refused_for_ms(admitted.digest, now_ms=now_ms)
 
     def is_suspect(self, admitted: AdmittedCall) -> bool:
-        """Return whether several runners have crashed under a call's request."""
+        """Return whether several runners have crashed while running a request."""
         return not self._records.is_empty and self._records.is_suspect(admitted.digest)
 
     def isolation_key(self, admitted: AdmittedCall) -> int | None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_io.py
@@ -62,10 +62,11 @@
 """Calls that may queue at a runner, as a share of its slots; runners queue four times
 as many. Without a queue a slot is idle for a quarter of the time, while its release and
 the next grant cross the fleet: two runners with 12 slots and a load of 9 concurrent
-calls refused 32 of 100 calls, and 19 with a queue. A queue of twice the length refused
-as many, and its calls took 250 ms instead of 190."""
+calls refused 32 of 100 calls, and 19 with a queue. A queue of twice the length refuses
+as many and delays its calls: they took 250 ms instead of 190."""
 SLACK_SLOTS = 3
-"""Slots above the load bound: otherwise single calls decide at a mean load of two."""
+"""Slots that the load bound adds to the multiple of the mean load. With fewer, a single
+call decides whether a runner is at its bound when the mean load is two."""
 
 
 class EdgeIo:
@@ -191,7 +192,7 @@
         return self._state.mean_load.mean(NODE_CALLS_KEY) * len(nodes)
 
     def contact_seeds(self, seeds: list[str]) -> None:
-        """Greet the seed nodes of the settings, and fetch newer state from them."""
+        """Send a hello to each configured seed node, and fetch newer state from it."""
         for seed in seeds:
             address = seed.partition(":")[0]
             if address == self._config.address:
@@ -323,7 +324,8 @@
     def _record_draining(self, runner: Runner) -> bool:
         """Record that a runner drains; return whether that was unknown.
 
-        Its home then refuses slots on it to nodes of any zone that do not know yet.
+        The runner's home is notified, and then refuses slots on the runner to nodes of
+        any zone that do not know of the drain yet.
         """
         changes = self.view.record_draining(runner)
         if changes is None:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/edge_service.py
@@ -38,7 +38,7 @@
 
 
 class EdgeService:
-    """Run one node on the platform, from its first socket to its last answer."""
+    """Run one node on the platform, from opening its sockets to its shutdown."""
 
     def __init__(
         self,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/fleet_view.py
@@ -232,7 +232,7 @@
         self._directory.record_store_recovery(now_ms=self._timers.now_ms())
 
     async def drop_lapsed(self) -> None:
-        """Drop runners whose entries expired in an outage and were not renewed."""
+        """Drop runners whose entries lapsed in an outage and were not renewed."""
         gone = self._directory.drop_lapsed(now_ms=self._timers.now_ms())
         if gone:
             self._update_runner_table("lapsed")
@@ -313,7 +313,7 @@
         return [record for record in records if self._directory.is_newer(record)]
 
     def _record_cold_times(self, records: list[RunnerRecord]) -> None:
-        """Record how long runners stay cold, except from records that were refused."""
+        """Record how long runners stay cold; ignore records that are not the newest."""
         now_ms = self._timers.now_ms()
         for record in records:
             if self._directory.is_newest(record):
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/node_registration.py
@@ -22,7 +22,7 @@
 
 
 class NodeRegistration:
-    """Register this node in the store, and greet all other registered nodes.
+    """Register this node in the store, and send a hello to all other registered nodes.
 
     A restarted process finds its former entry. It reads a list that may be stale, at a
     tenth of the price of a call, and writes nothing. Trying to create the entry,
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/peer_state_exchange.py
@@ -26,7 +26,7 @@
 
 STATE_PATH = "/peers/state"
 FETCH_TIMEOUT_S = 1.0
-"""Peers answer in milliseconds. After a time-out the next peer whose gossip reports a
+"""Peers answer in milliseconds. After a timeout the next peer whose gossip reports a
 newer revision is asked."""
 CONNECT_TIMEOUT_S = 0.25
 """Several round trips between regions. An unreachable peer would otherwise delay the
@@ -49,7 +49,7 @@
     ages: StoreAges
     """How long ago the sender's revisions were known to be the newest."""
     crashes: list[CrashNote] = []
-    """Requests during which runners have crashed."""
+    """Requests that runners have crashed while running."""
     evacuations: EvacuationView | None = None
     evacuations_version: int = 0
 
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/response_checks.py
@@ -39,8 +39,8 @@
 def check_outcome(response: CompleteResponse, *, runner: Runner) -> None:
     """Raise ``AttemptError`` unless the response may be returned to the caller.
 
-    It may not if it is a refusal, a server error or another status that means "not
-    run", or a success without the runner's signature header (``has_proof``).
+    It may not if it is a refusal, a server error, a status that tells the caller "not
+    run", or a success without the runner's signature header (``has_signature``).
     """
     head = response.head
     if head.is_refusal:
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/store_watcher.py
@@ -62,7 +62,7 @@
 """Interval at which a node that is not a watcher checks whether it must read the store
 itself."""
 MAX_HEARTBEATS_PER_WATCH = 2.0
-"""Maximum duration of a watch of the runner entries, in heartbeats. Entries expire
+"""Maximum duration of a watch of the runner entries, in heartbeats. Entries lapse
 after three. In an outage long enough for that, each watcher sees a call of its own fail
 before a watch that waited through the outage can report the entries as removed."""
 
@@ -83,7 +83,7 @@
     Only watchers watch the store continuously. Any other node reads it once if it has
     no view yet, if its view has not been confirmed for too long, and while its latest
     call failed: whether the store is in an outage decides how the node treats entries
-    that expire.
+    that lapse.
     """
 
     def __init__(
@@ -142,6 +142,8 @@
         self._logged_roles: dict[str, bool] = {}
         self._stale_kinds: set[str] = set()
         self._read_from_s = 0.0
+        """Loop time from which a node that is not a watcher reads the store itself for
+        what its peers have not handed over."""
 
     async def __aenter__(self) -> Self:
         """Start the tasks."""
@@ -218,7 +220,7 @@
             self._apply_list(kind, listed.entries, listed.revision)
             return
         # Continues from the last revision that this node read itself. Peers may know a
-        # newer one, but a peer that was cut off reports a removal as an expired entry,
+        # newer one, but a peer that was cut off reports a removal as a lapsed entry,
         # and only the store's own answer corrects that.
         revision = self._revisions[kind]
         update = await self._watch(kind, revision, self._wait_ms(followed))
@@ -267,7 +269,7 @@
         """Return how long the store may hold a watch open; 0 for an answer at once.
 
         After an outage the first answer shows that the store is back, which decides how
-        to treat entries that expired meanwhile. A node that is not a watcher reads the
+        to treat entries that lapsed meanwhile. A node that is not a watcher reads the
         changes once.
         """
         if followed.kind in self._unreachable_kinds or not self._is_watcher():
--- a/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/edge/update_broadcaster.py
@@ -28,11 +28,12 @@
 class UpdateBroadcaster:
     """Broadcast store updates, and how long ago each was known to be the newest.
 
-    If every node watched the store, the calls to it would grow with the fleet: with 59
-    nodes they cost a sixth of all revenue, and each change woke every node twice. One
-    or two nodes per zone watch instead and notify the others. A node that learns of a
-    change from outside its zone also notifies the zone: if the watchers of a zone are
-    cut off, one node that receives the change by gossip is enough.
+    If every node watched the store, the calls to it would grow with the fleet. Each
+    call has a price: with 59 nodes the calls cost a sixth of the fleet's revenue, and
+    each change woke every node twice. One or two nodes per zone watch instead and
+    notify the others. A node that learns of a change from outside its zone also
+    notifies the zone: if the watchers of a zone are cut off, one node that receives the
+    change by gossip is enough.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         )
         changes = _to_changes(message)
         # Also applies changes of a known revision: another watcher may know better
-        # whether an entry was removed or expired.
+        # whether an entry was removed or lapsed.
         if _count_changes(changes) and self._view.is_contiguous_with(changes):
             self._view.apply_runner_changes(
                 changes, source=sender.node_id, is_zone_notified=is_zone_notified
--- a/packages/clementineyoke-node/src/clementineyoke_node/objects/object_api.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/objects/object_api.py
@@ -46,5 +46,5 @@
         ...
 
     async def watch(self, prefix: str, *, after_revision: int) -> WatchResult:
-        """Wait until objects with a prefix change; after a time-out return none."""
+        """Wait until objects with a prefix change; after a timeout return none."""
         ...
--- a/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/peers/peer_socket.py
@@ -101,9 +101,9 @@
         self._incarnation = incarnation
 
     def next_ask_id(self) -> int:
-        """Return an ID that this node has not used recently.
+        """Return an id that this node has not used recently.
 
-        The first ID is random. Homes identify a slot's holder by address and ID; an ID
+        The first id is random. Homes identify a slot's holder by address and id; an id
         reused from the previous process at this address would be taken for the same
         holder, so that a slot would be granted but not counted.
         """
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/entry_codec.py
@@ -22,7 +22,7 @@
 
 STATE_DRAINING = "draining"
 MAX_COLD_MS = 600_000.0
-"""No start takes longer; a larger value is not from a runner."""
+"""No start takes longer; larger values are reduced to this."""
 MAX_SLOTS = 0xFFFF
 MAX_PORT = 0xFFFF
 MAX_UINT32 = 0xFFFF_FFFF
--- a/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/platform/runner_codec.py
@@ -15,7 +15,7 @@
 MS_PER_S = 1000.0
 STATUS_MISDIRECTED = 421
 BACKOFF_STATUSES = frozenset((429, 503))
-"""Statuses of refusals that may carry a backoff time."""
+"""Statuses of responses that may carry a backoff time."""
 MAX_BACKOFF_MS = 3_600_000.0
 """Longer times are reduced to this: no restart takes an hour."""
 EVENT_STREAM = "text/event-stream"
@@ -91,7 +91,7 @@
 
 
 def _decode_retry_after_ms(status: int, fields: CIMultiDictProxy[str]) -> float:
-    """Return the backoff time of a refusal; 0 if it is missing or cannot be parsed."""
+    """Return the backoff time of a response; 0 if it is missing or cannot be parsed."""
     if status not in BACKOFF_STATUSES:
         return 0.0
     try:
--- a/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_prober.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/runners/runner_prober.py
@@ -1,4 +1,4 @@
-"""Probe quarantined runners, a few at a time."""
+"""Probe runners that are quarantined or not ready yet, a few at a time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RunnerProber:
-    """Returns quarantined runners to service once they pass a probe."""
+    """Returns quarantined and unready runners to service once they pass a probe."""
 
     def __init__(
         self, *, table: RunnerTable, client: RunnerClient, timers: TimerService
--- a/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/settings/settings_replica.py
@@ -67,10 +67,10 @@
     ) -> None:
         self._objects = objects
         self._snapshots = SnapshotStore(objects=objects)
-        self._has_snapshot_duty = is_snapshot_writer
+        self._is_snapshot_writer = is_snapshot_writer
         self._snapshot_version = 0
         self._peers = peers
-        self._has_watch_duty = is_watcher
+        self._is_watcher = is_watcher
         self._active_fetches: set[str] = set()
         self._tasks = BackgroundTasks()
         self.log = SettingsLog()
@@ -124,7 +124,7 @@
         """Write a snapshot if this node is responsible and enough has changed."""
         if self.log.version - self._snapshot_version < MIN_SNAPSHOT_CHANGES:
             return
-        if not self._has_snapshot_duty():
+        if not self._is_snapshot_writer():
             return
         snapshot = self.log.snapshot()
         try:
@@ -144,7 +144,7 @@
     async def _watch(self) -> None:
         revision = 0
         while True:
-            if self.log.version and not self._has_watch_duty():
+            if self.log.version and not self._is_watcher():
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             try:
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_broker.py
@@ -122,7 +122,7 @@
         return await self._wait_for_slot(first_attempt, request)
 
     def has_available_runner(self, pool: str) -> bool:
-        """Return whether any runner of a pool accepts new calls."""
+        """Return whether a pool has a runner to try; see ``has_untried_runner``."""
         return self.has_untried_runner(pool, set())
 
     def backoff_remaining_ms(self, pool: str, *, now_ms: float) -> float:
@@ -130,7 +130,10 @@
         return self._table.backoff_remaining_ms(pool, now_ms=now_ms)
 
     def has_untried_runner(self, pool: str, tried: set[str]) -> bool:
-        """Return whether a pool has a ready runner that is not in ``tried``."""
+        """Return whether a pool has a runner to try that is not in ``tried``.
+
+        Quarantined runners count only if none is ready.
+        """
         return any(runner_id not in tried for runner_id in self._rings.order(pool, 0))
 
     def adopt(self, runner: Runner) -> SlotLease:
@@ -313,6 +316,8 @@
     def _list_skipped(
         self, search: SlotSearch, request: SlotRequest, runner: Runner
     ) -> tuple[SkippedRunner, ...]:
+        # Of the runners that were held back, only the cold ones may not bypass their
+        # home; the others are paused.
         held = tuple(
             SkippedRunner(
                 runner_id, "paused" if self._may_bypass_home(runner_id) else "cold"
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_home.py
@@ -86,7 +86,7 @@
     def rebuild(self) -> None:
         """Recompute which runners this node is home of.
 
-        Must be called after each change of the host list.
+        Must be called after each change of the host list or of the alive nodes.
         """
         self._runner_ids_by_hash = {}
         homed: dict[str, list[str]] = {}
@@ -116,7 +116,7 @@
         """Grant or refuse a slot immediately.
 
         ``seen_mean`` is the mean load that the requester observed, or 0; it overrides
-        this node's estimate if higher and marks the last request of a search.
+        this node's estimate if higher and marks a last-resort request.
         ``load_factor`` is the multiple of the mean load up to which the call may go,
         or 0 for this home's default.
         """
@@ -146,8 +146,8 @@
     ) -> None:
         """Queue a request for a slot.
 
-        ``on_result`` is called once with whether the slot was granted, unless the
-        request is released before.
+        ``on_result`` is called at most once, with whether the slot was granted. It is
+        not called if the request is released before or expires in the queue.
         """
         expires_at_ms = self._timers.now_ms() + wait_ms
         queued = QueuedRequest(holder, team, priority, expires_at_ms)
@@ -199,7 +199,11 @@
         }
 
     async def serve_queues(self) -> None:
-        """Serve the queues whose bound has risen with the mean load."""
+        """Serve all queues.
+
+        A runner's bound may have risen with the mean load, or a cold runner may accept
+        its next call.
+        """
         for runner_id in list(self._queues):
             self._serve_queue(runner_id)
 
@@ -229,7 +233,7 @@
     def _assume_cold(self, runner_id: str, now_ms: float) -> None:
         """Treat a runner that refused connections as restarting.
 
-        It may be reachable under its ID again before its entry reports the restart.
+        It may be reachable under its id again before its entry reports the restart.
         Without the cold limit the queued calls would then crash it again.
         """
         entry = self._table.get(runner_id)
@@ -287,8 +291,8 @@
             return 0
         load_bound = self._load_bound
         if load_factor > 0.0:
-            # The last request of a search may use any capacity up to the default
-            # factor, even for a call with a lower load factor.
+            # A last-resort request may use any capacity up to the default factor, even
+            # for a call with a lower load factor.
             min_factor = load_bound.factor if seen_mean > 0.0 else 0.0
             load_bound = load_bound._replace(factor=max(min_factor, load_factor))
         return compute_home_bound(
@@ -304,7 +308,7 @@
                 self._remove_runner(runner_id)
 
     def _remove_restarted(self, lifetimes: dict[str, str]) -> None:
-        """Drop counts and faults of runners that restarted under the same ID.
+        """Drop counts and faults of runners that restarted under the same id.
 
         Requests of the previous lifetime no longer run. If they stayed counted, the
         idle runner would remain at its bound until their leases expire.
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_lease.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_lease.py
@@ -22,6 +22,7 @@
     ask_id: int
     reason: str
     rank: int
-    """Number of runners that precede it in the chat's order."""
+    """Number of runners tried before it in the search. A last-resort request keeps the
+    rank of the first request to its runner."""
     passed_over: tuple[SkippedRunner, ...] = ()
     """Preceding runners that were skipped for a reason other than their load."""
--- a/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_request.py
+++ b/packages/clementineyoke-node/src/clementineyoke_node/slots/slot_request.py
@@ -18,8 +18,9 @@
     priority: int
     wait_ms: int
     tried: Collection[str] = ()
-    """IDs of runners that must not be tried again."""
+    """Ids of runners that must not be tried again."""
     load_factor: float = 0.0
-    """Maximum multiple of the mean load for this call; 0 for the home's default."""
+    """Maximum multiple of the mean load for this call; 0 for the home's default. A
+    last-resort request uses the default if that is higher; a queued one always does."""
     preferred: str | None = None
-    """ID of the runner that the placement token names."""
+    """Id of the runner that the placement token names."""
